--- a/coordination/placement/adapters.go
+++ b/coordination/placement/adapters.go
@@ -11,47 +11,48 @@
 	"primroseward/io/logs"
 )
 
-// retryAdapter is when a caller may come back for an adapter for which there is
-// no place: requests hold adapters for about a second, and several places come
-// free in that time.
-const retryAdapter = 300 * time.Millisecond
+// adapterRetryDelay is when a caller should retry if there is no free slot for its
+// adapter. Requests occupy adapters for about a second, so several slots become free
+// within this time.
+const adapterRetryDelay = 300 * time.Millisecond
 
-// retryModel is when a caller may come back for a model that is not there: it
-// takes between half a second and a few to load.
-const retryModel = time.Second
+// modelRetryDelay is when a caller should retry if no runner has its model. A model takes
+// between half a second and a few seconds to load.
+const modelRetryDelay = time.Second
 
 const (
-	// waitForPlace is how long a request waits for a place for its adapter: a
-	// fraction of the shortest target, so that a refusal still leaves time to
-	// come back.
-	waitForPlace = 150 * time.Millisecond
-	advanceEvery = 10 * time.Millisecond
+	// adapterSlotWait is how long a request waits for a free adapter slot. It is a
+	// fraction of the shortest target latency, so that the caller still has time to
+	// retry after a refusal.
+	adapterSlotWait = 150 * time.Millisecond
+	advanceInterval = 10 * time.Millisecond
 )
 
-// spareAdapters is how many places for adapters of a runner stay free for those
-// that are asked for and absent.
-const spareAdapters = 1
+// spareAdapterSlots is how many adapter slots of a runner preloading leaves free for
+// requested adapters that the runner does not have.
+const spareAdapterSlots = 1
 
-// place answers at once if a runner has what is wanted, and gets it otherwise.
-func (h *Holder) place(w dispatch.Want, answer func(Placed)) {
-	if !h.hold() {
-		answer(Placed{Retry: retryModel})
+// place answers immediately if a runner has the model or adapter, and otherwise has it
+// loaded.
+func (h *Holder) place(w dispatch.Want, answer func(PlaceResult)) {
+	if !h.ensureTerm() {
+		answer(PlaceResult{Retry: modelRetryDelay})
 		return
 	}
-	if len(h.hosts) == 0 {
-		h.refresh()
+	if len(h.runners) == 0 {
+		h.refreshRunners()
 	}
-	if !h.offered(w) {
-		answer(Placed{})
+	if !h.configured(w) {
+		answer(PlaceResult{})
 		return
 	}
 	if w.Adapter == "" {
 		answer(h.placeModel(w))
 		return
 	}
-	if one := h.withAdapter(w, present); one != nil {
-		one.adapters[adapterKey{w.Model, w.Adapter}].used = h.clock.Now()
-		answer(Placed{Runner: one.runner.ID})
+	if rs := h.runnerWithAdapter(w, present); rs != nil {
+		rs.adapters[adapterKey{w.Model, w.Adapter}].lastUsed = h.clock.Now()
+		answer(PlaceResult{Runner: rs.runner.ID})
 		return
 	}
 	list, ok := h.waiting[w]
@@ -60,12 +61,12 @@
 		h.waiting[w] = list
 	}
 	list.answers = append(list.answers, answer)
-	h.advance(w)
+	h.advanceAdapter(w)
 }
 
-// offered says whether the configuration lists what is wanted. An order for
-// anything else would be refused by the runner, again and again.
-func (h *Holder) offered(w dispatch.Want) bool {
+// configured reports whether the configuration lists a model or adapter. A runner would
+// refuse every order for one that is not listed.
+func (h *Holder) configured(w dispatch.Want) bool {
 	config := h.catalog.Config()
 	if config == nil || config.Services[w.Service] == nil || config.Services[w.Service].Engine == nil {
 		return false
@@ -80,17 +81,17 @@
 // waiters are the requests that wait for an adapter.
 type waiters struct {
 	since   time.Time
-	answers []func(Placed)
+	answers []func(PlaceResult)
 }
 
-// placeModel answers for a model. Its demand is known already; the next plan
-// sees to it.
-func (h *Holder) placeModel(w dispatch.Want) Placed {
-	out := Placed{Retry: retryModel}
-	for id, one := range h.hosts {
-		if m, ok := one.models[w.Model]; ok && m.phase == present && h.mayServe(one, w) {
-			out = Placed{Runner: id}
-			if !one.limited {
+// placeModel answers a request for a model. A model that no runner has is loaded by the
+// next plan, which already includes the demand of this request.
+func (h *Holder) placeModel(w dispatch.Want) PlaceResult {
+	out := PlaceResult{Retry: modelRetryDelay}
+	for id, rs := range h.runners {
+		if m, ok := rs.models[w.Model]; ok && m.phase == present && h.mayServe(rs, w) {
+			out = PlaceResult{Runner: id}
+			if !rs.limited {
 				break
 			}
 		}
@@ -98,71 +99,74 @@
 	return out
 }
 
-// mayServe says whether requests for what is wanted may go to a runner.
-func (h *Holder) mayServe(one *host, w dispatch.Want) bool {
-	return one.usable(w.Service) && h.allowed(w.Service, w.Model, one.runner.Place)
+// mayServe reports whether requests for a model or adapter may be sent to a runner.
+func (h *Holder) mayServe(rs *runnerState, w dispatch.Want) bool {
+	return rs.usable(w.Service) && h.allowed(w.Service, w.Model, rs.runner.Place)
 }
 
-func (h *host) usable(service string) bool {
-	return h.runner.Service == service && !h.runner.Draining && !h.down
+func (rs *runnerState) usable(service string) bool {
+	return rs.runner.Service == service && !rs.runner.Draining && !rs.down
 }
 
-// withAdapter returns the least busy runner that has an adapter in a phase, and room for
-// a request where those that have none are of no use.
-func (h *Holder) withAdapter(w dispatch.Want, p phase) *host {
-	var best *host
-	low := 0
-	for _, one := range h.hosts {
-		a, ok := one.adapters[adapterKey{w.Model, w.Adapter}]
-		if !ok || a.phase != p || !h.mayServe(one, w) {
+// runnerWithAdapter returns the least busy runner that has an adapter in a phase. If w.Busy
+// is set and the phase is present, it considers only runners without a limit that have a
+// free slot.
+func (h *Holder) runnerWithAdapter(w dispatch.Want, p phase) *runnerState {
+	var best *runnerState
+	fewest := 0
+	for _, rs := range h.runners {
+		a, ok := rs.adapters[adapterKey{w.Model, w.Adapter}]
+		if !ok || a.phase != p || !h.mayServe(rs, w) {
 			continue
 		}
-		n := h.loads.View(one.runner.ID).Requests
-		if w.Busy && p == present && (one.limited || n >= one.engine.Slots) {
+		requests := h.loads.View(rs.runner.ID).Requests
+		if w.Busy && p == present && (rs.limited || requests >= rs.engine.Slots) {
 			continue
 		}
-		if best == nil || n < low {
-			best, low = one, n
+		if best == nil || requests < fewest {
+			best, fewest = rs, requests
 		}
 	}
 	return best
 }
 
-// advance does the next step for an adapter that requests wait for.
-func (h *Holder) advance(w dispatch.Want) {
+// advanceAdapter takes the next step to load an adapter that requests wait for.
+func (h *Holder) advanceAdapter(w dispatch.Want) {
 	list, ok := h.waiting[w]
 	if !ok {
 		return
 	}
-	if one := h.withAdapter(w, present); one != nil {
-		h.answer(w, Placed{Runner: one.runner.ID})
+	if rs := h.runnerWithAdapter(w, present); rs != nil {
+		h.answerWaiters(w, PlaceResult{Runner: rs.runner.ID})
 		return
 	}
-	if h.withAdapter(w, loading) != nil {
-		return // its confirmation is on the way
+	if h.runnerWithAdapter(w, loading) != nil {
+		return // its load is already being confirmed
 	}
-	one, victim := h.adapterHost(w)
+	rs, victim := h.chooseAdapterRunner(w)
 	switch {
-	case one == nil && !w.Busy && h.clock.Since(list.since) < waitForPlace:
-		h.after(advanceEvery, func() { h.advance(w) })
-	case one == nil:
-		h.answer(w, Placed{Retry: retryAdapter})
+	case rs == nil && !w.Busy && h.clock.Since(list.since) < adapterSlotWait:
+		h.postAfter(advanceInterval, func() { h.advanceAdapter(w) })
+	case rs == nil:
+		h.answerWaiters(w, PlaceResult{Retry: adapterRetryDelay})
 	case victim != (adapterKey{}):
-		h.unloadAdapter(one, victim, w)
+		h.unloadAdapter(rs, victim, w)
 	default:
-		h.loadAdapter(one, w)
+		h.loadAdapter(rs, w)
 	}
 }
 
-func (h *Holder) answer(w dispatch.Want, p Placed) {
-	h.answerAll(w, p)
+// answerWaiters answers the requests that wait for an adapter. If a runner has been found,
+// this includes those that wait with the opposite value of Busy.
+func (h *Holder) answerWaiters(w dispatch.Want, p PlaceResult) {
+	h.answerEach(w, p)
 	if p.Runner != "" {
-		w.Busy = !w.Busy // a runner that has just got the adapter has room for both
-		h.answerAll(w, p)
+		w.Busy = !w.Busy // a runner that has just loaded the adapter has capacity for both
+		h.answerEach(w, p)
 	}
 }
 
-func (h *Holder) answerAll(w dispatch.Want, p Placed) {
+func (h *Holder) answerEach(w dispatch.Want, p PlaceResult) {
 	list, ok := h.waiting[w]
 	if !ok {
 		return
@@ -173,190 +177,192 @@
 	delete(h.waiting, w)
 }
 
-// adapterHost finds the runner for an adapter: the least busy one that has its
-// model and a free place, or one where another adapter gives way.
-func (h *Holder) adapterHost(w dispatch.Want) (*host, adapterKey) {
-	var free, full *host
+// chooseAdapterRunner returns the runner on which to load an adapter: the least busy one
+// that has its model and a free adapter slot, or else one on which another adapter can be
+// unloaded, with that adapter.
+func (h *Holder) chooseAdapterRunner(w dispatch.Want) (*runnerState, adapterKey) {
+	var withFreeSlot, withVictim *runnerState
 	var victim adapterKey
-	var lowest float64
-	low := 0
-	copies := h.adapterCopies(w.Service)
-	for _, one := range h.hosts {
-		m, ok := one.models[w.Model]
-		spec := one.engine.Model(w.Model)
-		if !ok || spec == nil || m.phase != present || !h.mayServe(one, w) || !one.synced || one.sending || one.inPhase(loading) >= maxComing {
+	var lowestValue float64
+	fewest := 0
+	replicas := h.adapterReplicas(w.Service)
+	for _, rs := range h.runners {
+		m, ok := rs.models[w.Model]
+		spec := rs.engine.Model(w.Model)
+		if !ok || spec == nil || m.phase != present || !h.mayServe(rs, w) || !rs.synced || rs.orderPending || rs.countInPhase(loading) >= maxAdaptersLoading {
 			continue
 		}
-		n := h.loads.View(one.runner.ID).Requests
-		if _, has := one.adapters[adapterKey{w.Model, w.Adapter}]; has || w.Busy && n >= one.engine.Slots || one.limited && h.otherHas(w, one) {
+		requests := h.loads.View(rs.runner.ID).Requests
+		if _, has := rs.adapters[adapterKey{w.Model, w.Adapter}]; has || w.Busy && requests >= rs.engine.Slots || rs.limited && h.unlimitedRunnerHas(w, rs) {
 			continue
 		}
-		if one.adaptersTaken() < one.engine.AdapterSlots && one.freeMB() >= spec.AdapterMB {
-			if free == nil || n < low {
-				free, low = one, n
+		if rs.adapterSlotsUsed() < rs.engine.AdapterSlots && rs.freeMB() >= spec.AdapterMB {
+			if withFreeSlot == nil || requests < fewest {
+				withFreeSlot, fewest = rs, requests
 			}
 			continue
 		}
-		for key, a := range one.adapters {
-			if value, ok := h.adapterValue(a, copies[key]); ok && (full == nil || value < lowest) {
-				full, victim, lowest = one, key, value
+		for key, a := range rs.adapters {
+			if value, ok := h.evictionValue(a, replicas[key]); ok && (withVictim == nil || value < lowestValue) {
+				withVictim, victim, lowestValue = rs, key, value
 			}
 		}
 	}
-	if free != nil {
-		return free, adapterKey{}
+	if withFreeSlot != nil {
+		return withFreeSlot, adapterKey{}
 	}
-	return full, victim
+	return withVictim, victim
 }
 
-// otherHas says whether a runner that is not limited has the model of an adapter.
-func (h *Holder) otherHas(w dispatch.Want, than *host) bool {
-	for _, one := range h.hosts {
-		if m, ok := one.models[w.Model]; one != than && ok && m.phase == present && !one.limited && h.mayServe(one, w) {
+// unlimitedRunnerHas reports whether a runner without a limit, other than exclude, has an
+// adapter's model.
+func (h *Holder) unlimitedRunnerHas(w dispatch.Want, exclude *runnerState) bool {
+	for _, rs := range h.runners {
+		if m, ok := rs.models[w.Model]; rs != exclude && ok && m.phase == present && !rs.limited && h.mayServe(rs, w) {
 			return true
 		}
 	}
 	return false
 }
 
-// adapterCopies counts the copies of each adapter of a service's models.
-func (h *Holder) adapterCopies(service string) map[adapterKey]int {
-	copies := map[adapterKey]int{}
-	for _, one := range h.hosts {
-		if one.usable(service) {
-			for key := range one.adapters {
-				copies[key]++
+// adapterReplicas counts the replicas of each adapter of a service's models.
+func (h *Holder) adapterReplicas(service string) map[adapterKey]int {
+	replicas := map[adapterKey]int{}
+	for _, rs := range h.runners {
+		if rs.usable(service) {
+			for key := range rs.adapters {
+				replicas[key]++
 			}
 		}
 	}
-	return copies
+	return replicas
 }
 
-// adapterValue orders adapters by what is lost when one gives way for another
-// that no runner has. One that has other copies may always go: otherwise busy
-// adapters, which are asked for all the time, would keep all places of a runner
-// that has the only copy of another model, and each request for that model's
-// adapters would be refused. An only copy may go when nobody has asked for it
-// lately.
-func (h *Holder) adapterValue(a *item, copies int) (float64, bool) {
-	unused := h.clock.Since(a.used)
-	if a.phase != present || copies < 2 && unused <= keepAdapter {
+// evictionValue returns the cost of unloading an adapter in favour of one that no runner
+// has, and whether it may be unloaded. An adapter that has other replicas may always be
+// unloaded. Otherwise busy adapters, which are requested all the time, would occupy all
+// adapter slots of a runner that has the only replica of another model, and every request
+// for that model's adapters would be refused. The only replica of an adapter may be
+// unloaded if it has not been requested for minAdapterIdle.
+func (h *Holder) evictionValue(a *placedItem, replicas int) (float64, bool) {
+	unused := h.clock.Since(a.lastUsed)
+	if a.phase != present || replicas < 2 && unused <= minAdapterIdle {
 		return 0, false
 	}
 	value := 1 / (1 + unused.Seconds())
-	if copies < 2 {
+	if replicas < 2 {
 		value++
 	}
 	return value, true
 }
 
-// loadAdapter orders an adapter and repeats the order until it is there.
-func (h *Holder) loadAdapter(one *host, w dispatch.Want) {
+// loadAdapter orders a runner to load an adapter and repeats the order until it is loaded.
+func (h *Holder) loadAdapter(rs *runnerState, w dispatch.Want) {
 	key := adapterKey{w.Model, w.Adapter}
-	it := &item{phase: loading, used: h.clock.Now()}
-	one.adapters[key] = it
+	item := &placedItem{phase: loading, lastUsed: h.clock.Now()}
+	rs.adapters[key] = item
 	o := core.RunnerOrder{Load: true, Model: w.Model, Adapter: w.Adapter}
-	h.send(one, o, func(result core.OrderResult) { h.adapterOrdered(one, w, it, result, confirmFirst) })
+	h.send(rs, o, func(result core.OrderResult) { h.handleAdapterResult(rs, w, item, result, firstConfirmDelay) })
 }
 
-func (h *Holder) adapterOrdered(one *host, w dispatch.Want, it *item, result core.OrderResult, next time.Duration) {
+func (h *Holder) handleAdapterResult(rs *runnerState, w dispatch.Want, item *placedItem, result core.OrderResult, next time.Duration) {
 	key := adapterKey{w.Model, w.Adapter}
-	if one.adapters[key] != it {
-		return // the runner has been read anew since
+	if rs.adapters[key] != item {
+		return // a report has replaced the state since
 	}
 	switch result {
 	case core.OrderDone:
-		it.phase = present
+		item.phase = present
 		h.count("adapters_loaded")
-		h.tell(News{Runner: one.runner.ID, Model: w.Model, Adapter: w.Adapter, Held: true})
-		h.answer(w, Placed{Runner: one.runner.ID})
+		h.broadcast(HoldingUpdate{Runner: rs.runner.ID, Model: w.Model, Adapter: w.Adapter, Held: true})
+		h.answerWaiters(w, PlaceResult{Runner: rs.runner.ID})
 	case core.OrderAccepted, core.OrderConflict:
-		if one.synced {
-			h.after(next, func() { h.confirmAdapter(one, w, it) })
+		if rs.synced {
+			h.postAfter(next, func() { h.confirmAdapter(rs, w, item) })
 		}
 	case core.OrderUnknown, core.OrderRefused, core.OrderWrongHost:
-		// It counts as taken until the runner has been read anew, which send sees to.
+		// The slot counts as occupied until a report, requested by send, has been applied.
 	}
 }
 
-func (h *Holder) confirmAdapter(one *host, w dispatch.Want, it *item) {
-	if !h.mayOrder(one, one.adapters[adapterKey{w.Model, w.Adapter}], it) {
+func (h *Holder) confirmAdapter(rs *runnerState, w dispatch.Want, item *placedItem) {
+	if !h.mayStillOrder(rs, rs.adapters[adapterKey{w.Model, w.Adapter}], item) {
 		return
 	}
-	if one.sending {
-		h.after(confirmEvery, func() { h.confirmAdapter(one, w, it) })
+	if rs.orderPending {
+		h.postAfter(confirmInterval, func() { h.confirmAdapter(rs, w, item) })
 		return
 	}
-	h.confirm(one, core.RunnerOrder{Load: true, Model: w.Model, Adapter: w.Adapter}, func(result core.OrderResult) {
-		h.adapterOrdered(one, w, it, result, confirmEvery)
+	h.confirm(rs, core.RunnerOrder{Load: true, Model: w.Model, Adapter: w.Adapter}, func(result core.OrderResult) {
+		h.handleAdapterResult(rs, w, item, result, confirmInterval)
 	})
 }
 
-// unloadAdapter makes room for an adapter that is waited for.
-func (h *Holder) unloadAdapter(one *host, key adapterKey, w dispatch.Want) {
-	it := one.adapters[key]
-	it.phase = unloading
-	h.tell(News{Runner: one.runner.ID, Model: key.model, Adapter: key.adapter})
-	h.log.Info(logs.AdapterYields, zap.String("runner", one.runner.ID), zap.String("model", key.model), zap.String("adapter", key.adapter),
-		zap.Duration("unused", h.clock.Since(it.used)))
-	h.send(one, core.RunnerOrder{Model: key.model, Adapter: key.adapter}, func(result core.OrderResult) {
-		if one.adapters[key] != it {
+// unloadAdapter unloads an adapter so that a requested one can be loaded.
+func (h *Holder) unloadAdapter(rs *runnerState, key adapterKey, w dispatch.Want) {
+	item := rs.adapters[key]
+	item.phase = unloading
+	h.broadcast(HoldingUpdate{Runner: rs.runner.ID, Model: key.model, Adapter: key.adapter})
+	h.log.Info(logs.AdapterYields, zap.String("runner", rs.runner.ID), zap.String("model", key.model), zap.String("adapter", key.adapter),
+		zap.Duration("unused", h.clock.Since(item.lastUsed)))
+	h.send(rs, core.RunnerOrder{Model: key.model, Adapter: key.adapter}, func(result core.OrderResult) {
+		if rs.adapters[key] != item {
 			return
 		}
 		switch result {
 		case core.OrderDone:
-			// The order was carried out at once, and counts as accepted.
-			delete(one.adapters, key)
-			one.sequence++
-			h.advance(w)
+			// The runner carried out the order immediately, which also advances its sequence.
+			delete(rs.adapters, key)
+			rs.sequence++
+			h.advanceAdapter(w)
 		case core.OrderAccepted:
-			it.phase = unloading
-			h.after(modelEvery, func() { one.synced = false })
+			item.phase = unloading
+			h.postAfter(modelConfirmInterval, func() { rs.synced = false })
 		case core.OrderUnknown, core.OrderConflict, core.OrderRefused, core.OrderWrongHost:
-			// It counts as taken until the runner has been read anew, which send sees to.
+			// The slot counts as occupied until a report, requested by send, has been applied.
 		}
 	})
 }
 
-// preload loads adapters ahead of requests for them into places that are free:
-// every adapter once, then those asked for most again. A request for an absent
-// adapter waits for it, and is refused while no daemon holds the lease.
-func (h *Holder) preload(service string, engine *core.Engine) {
-	copies := h.adapterCopies(service)
-	for _, one := range h.hosts {
-		if !one.usable(service) || !one.synced || one.sending || one.busy() || one.inPhase(loading) > 0 {
+// preloadAdapters loads adapters into free slots before they are requested: first every
+// adapter once, then further replicas of those in highest demand. A request for an adapter
+// that is not loaded has to wait, and is refused while no daemon holds the lease.
+func (h *Holder) preloadAdapters(service string, engine *core.Engine) {
+	replicas := h.adapterReplicas(service)
+	for _, rs := range h.runners {
+		if !rs.usable(service) || !rs.synced || rs.orderPending || rs.busy() || rs.countInPhase(loading) > 0 {
 			continue
 		}
-		if one.adaptersTaken()+spareAdapters >= engine.AdapterSlots {
+		if rs.adapterSlotsUsed()+spareAdapterSlots >= engine.AdapterSlots {
 			continue
 		}
-		if key, ok := h.nextAdapter(one, copies); ok {
-			copies[key]++
-			h.loadAdapter(one, dispatch.Want{Service: service, Model: key.model, Adapter: key.adapter})
+		if key, ok := h.nextAdapter(rs, replicas); ok {
+			replicas[key]++
+			h.loadAdapter(rs, dispatch.Want{Service: service, Model: key.model, Adapter: key.adapter})
 		}
 	}
 }
 
-// nextAdapter is the adapter that a runner should load ahead: the one with the
-// fewest copies for what is asked of it.
-func (h *Holder) nextAdapter(one *host, copies map[adapterKey]int) (adapterKey, bool) {
+// nextAdapter returns the adapter that a runner should preload: the one with the fewest
+// replicas relative to its demand.
+func (h *Holder) nextAdapter(rs *runnerState, replicas map[adapterKey]int) (adapterKey, bool) {
 	var best adapterKey
 	bestScore, found := 0.0, false
-	for name, m := range one.models {
-		spec := one.engine.Model(name)
-		if m.phase != present || spec == nil || one.freeMB() < spec.AdapterMB || !h.allowed(one.runner.Service, name, one.runner.Place) {
+	for name, m := range rs.models {
+		spec := rs.engine.Model(name)
+		if m.phase != present || spec == nil || rs.freeMB() < spec.AdapterMB || !h.allowed(rs.runner.Service, name, rs.runner.Place) {
 			continue
 		}
 		for _, adapter := range spec.AdapterNames() {
 			key := adapterKey{name, adapter}
-			if _, ok := one.adapters[key]; ok {
+			if _, ok := rs.adapters[key]; ok {
 				continue
 			}
-			heat := h.heat[dispatch.Want{Service: one.runner.Service, Model: name, Adapter: key.adapter}]
-			if copies[key] > 0 && (heat == 0 || h.paused()) {
+			demand := h.demand[dispatch.Want{Service: rs.runner.Service, Model: name, Adapter: key.adapter}]
+			if replicas[key] > 0 && (demand == 0 || h.paused()) {
 				continue
 			}
-			score := (heat + 0.01) / float64(copies[key]*copies[key]+1)
+			score := (demand + 0.01) / float64(replicas[key]*replicas[key]+1)
 			if !found || score > bestScore {
 				best, bestScore, found = key, score, true
 			}
--- a/coordination/placement/client.go
+++ b/coordination/placement/client.go
@@ -16,26 +16,28 @@
 )
 
 const (
-	// askLimit is how long a request waits for an adapter. Adapters take 5 to
-	// 10 ms to load; the rest is for a place to be made.
-	askLimit = 250 * time.Millisecond
-	// askResend repeats a question whose datagram was lost.
-	askResend = 60 * time.Millisecond
-	// tellEvery is how often a daemon tells the holder what was asked for.
-	tellEvery = 400 * time.Millisecond
+	// placeTimeout is how long a request waits for an adapter. Adapters take 5 to
+	// 10 ms to load; the rest is for unloading another adapter first.
+	placeTimeout = 250 * time.Millisecond
+	// placeResendInterval is when a request to the holder is sent again, in case its
+	// datagram was lost.
+	placeResendInterval = 60 * time.Millisecond
+	// demandInterval is how often a daemon sends its demand counts to the holder.
+	demandInterval = 400 * time.Millisecond
 
 	kindPlace  = "place"
 	kindDemand = "demand"
-	kindNews   = "news"
+	kindUpdate = "news"
 )
 
-// wanted is a part of the demand on the wire between daemons.
-type wanted struct {
+// demandEntry is one demand count as sent between daemons.
+type demandEntry struct {
 	Want  dispatch.Want `json:"want"`
 	Count float64       `json:"count"`
 }
 
-// Client asks the daemon that holds the lease, which may be this one.
+// Client sends requests for models and adapters, and the demand, to the daemon that holds
+// the lease, which may be this one.
 type Client struct {
 	peers  *peers.Peers
 	holder *Holder
@@ -46,7 +48,7 @@
 	stop   context.CancelFunc
 }
 
-// NewClient makes a Client and lets holder answer the other daemons.
+// NewClient returns a Client and makes holder answer requests from other daemons.
 func NewClient(p *peers.Peers, holder *Holder, demand *dispatch.Demand, clock core.Clock, log *zap.Logger) *Client {
 	c := &Client{peers: p, holder: holder, demand: demand, clock: clock, log: log}
 	p.Handle(kindPlace, c.handlePlace)
@@ -54,7 +56,7 @@
 	return c
 }
 
-// Start begins to tell the holder of the demand.
+// Start starts to send the demand to the holder periodically.
 func (c *Client) Start() {
 	ctx, cancel := context.WithCancel(context.Background())
 	c.stop = cancel
@@ -62,7 +64,7 @@
 	go c.run(ctx)
 }
 
-// Stop ends that.
+// Stop stops sending the demand.
 func (c *Client) Stop() {
 	c.stop()
 	c.wg.Wait()
@@ -74,11 +76,11 @@
 		c.log.Warn(logs.MessageUnreadable, logs.Err(err))
 		return
 	}
-	c.holder.Place(w, func(p Placed) { answer(p) })
+	c.holder.Place(w, func(p PlaceResult) { answer(p) })
 }
 
 func (c *Client) handleDemand(from peers.Peer, body json.RawMessage, _ func(any)) {
-	var list []wanted
+	var list []demandEntry
 	if err := json.Unmarshal(body, &list); err != nil {
 		c.log.Warn(logs.MessageUnreadable, zap.String("other", from.Name), logs.Err(err))
 		return
@@ -87,31 +89,31 @@
 	for _, w := range list {
 		counts[w.Want] += w.Count
 	}
-	c.holder.Demand(counts)
+	c.holder.AddDemand(counts)
 }
 
 // Place implements dispatch.Placer.
 func (c *Client) Place(ctx context.Context, w dispatch.Want) (string, time.Duration, error) {
-	ctx, cancel := context.WithTimeout(ctx, askLimit)
+	ctx, cancel := context.WithTimeout(ctx, placeTimeout)
 	defer cancel()
 	to, ok := c.peers.Holder()
 	if !ok {
 		return "", 0, eris.Wrap(core.ErrUnavailable, "no daemon holds the lease of orders")
 	}
-	var got Placed
+	var got PlaceResult
 	if to.Name == c.peers.Self().Name {
-		ch := make(chan Placed, 1)
-		c.holder.Place(w, func(p Placed) { ch <- p })
+		ch := make(chan PlaceResult, 1)
+		c.holder.Place(w, func(p PlaceResult) { ch <- p })
 		select {
 		case got = <-ch:
 		case <-ctx.Done():
-			return "", 0, eris.Wrap(core.ErrUnavailable, "placement took too long")
+			return "", 0, eris.Wrap(core.ErrUnavailable, "the holder of the lease of orders did not answer in time")
 		}
-	} else if err := c.peers.Ask(ctx, to, kindPlace, w, &got, askResend); err != nil {
+	} else if err := c.peers.Ask(ctx, to, kindPlace, w, &got, placeResendInterval); err != nil {
 		return "", 0, eris.Wrapf(err, "holder %s", to.Name)
 	}
 	if got.Runner == "" {
-		return "", got.Retry, eris.Wrap(core.ErrUnavailable, "no runner can take it now")
+		return "", got.Retry, eris.Wrap(core.ErrUnavailable, "no runner can serve the model or adapter now")
 	}
 	return got.Runner, 0, nil
 }
@@ -120,27 +122,27 @@
 	defer c.wg.Done()
 	for ctx.Err() == nil {
 		if to, ok := c.peers.Holder(); ok {
-			c.tell(to)
+			c.sendDemand(to)
 		}
 		select {
 		case <-ctx.Done():
-		case <-c.clock.After(tellEvery):
+		case <-c.clock.After(demandInterval):
 		}
 	}
 }
 
-func (c *Client) tell(to peers.Peer) {
+func (c *Client) sendDemand(to peers.Peer) {
 	counts := c.demand.Take()
 	if len(counts) == 0 {
 		return
 	}
 	if to.Name == c.peers.Self().Name {
-		c.holder.Demand(counts)
+		c.holder.AddDemand(counts)
 		return
 	}
-	list := make([]wanted, 0, len(counts))
+	list := make([]demandEntry, 0, len(counts))
 	for w, n := range counts {
-		list = append(list, wanted{w, n})
+		list = append(list, demandEntry{w, n})
 	}
 	c.peers.Tell(to, kindDemand, list)
 }
--- a/coordination/placement/engine_test.go
+++ b/coordination/placement/engine_test.go
@@ -15,27 +15,27 @@
 	"primroseward/core"
 )
 
-// trouble is what goes wrong with orders, as shares of them.
-type trouble struct {
-	lost     float64 // never arrive
-	unheard  float64 // are carried out, the answer is lost
-	late     float64 // get no answer and are carried out seconds later
-	reportIn time.Duration
+// faults are the probabilities of faults of orders, and the age of reports.
+type faults struct {
+	lost        float64 // the order never arrives
+	answerLost  float64 // the order is carried out but its answer is lost
+	late        float64 // the order is not answered and is carried out seconds later
+	reportDelay time.Duration
 }
 
-// engine is a runner that checks each order as a real one does, and crashes
-// when it is ordered beyond its memory.
+// engine is a runner that checks each order as a real one does, and fails the test when it
+// is ordered to load more than its memory holds.
 type engine struct {
-	t       *testing.T
-	spec    *core.Engine
-	rnd     *rand.Rand
-	trouble trouble
+	t      *testing.T
+	spec   *core.Engine
+	rnd    *rand.Rand
+	faults faults
 
 	mu       sync.Mutex
 	sequence uint64
 	models   map[string]bool // present, loading and unloading
-	order    string          // for a model, in progress
-	adapters map[string]bool // present and coming
+	order    string          // order for a model in progress, empty if none
+	adapters map[string]bool // present and loading
 	coming   map[string]bool
 	busyWith map[string]bool // adapters that requests use
 	history  []snapshot
@@ -48,17 +48,17 @@
 	report core.Report
 }
 
-func newEngine(t *testing.T, spec *core.Engine, rnd *rand.Rand, tr trouble, models ...string) *engine {
-	e := &engine{t: t, spec: spec, rnd: rnd, trouble: tr, models: map[string]bool{}, adapters: map[string]bool{}, coming: map[string]bool{}, busyWith: map[string]bool{}}
+func newEngine(t *testing.T, spec *core.Engine, rnd *rand.Rand, fs faults, models ...string) *engine {
+	e := &engine{t: t, spec: spec, rnd: rnd, faults: fs, models: map[string]bool{}, adapters: map[string]bool{}, coming: map[string]bool{}, busyWith: map[string]bool{}}
 	for _, m := range models {
 		e.models[m] = true
 	}
-	e.note()
+	e.recordState()
 	return e
 }
 
-// note remembers the state for reports, which lag behind.
-func (e *engine) note() {
+// recordState appends the current state to the history from which delayed reports are taken.
+func (e *engine) recordState() {
 	r := core.Report{Busy: e.order != "", Sequence: e.sequence}
 	for m := range e.models {
 		if e.order == "load "+m {
@@ -66,7 +66,7 @@
 		}
 		h := core.Holding{Model: m}
 		for a := range e.adapters {
-			if model, name, _ := cutAdapter(a); model == m && !e.coming[a] {
+			if model, name, _ := splitAdapterName(a); model == m && !e.coming[a] {
 				h.Adapters = append(h.Adapters, name)
 			}
 		}
@@ -85,7 +85,7 @@
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	at := len(e.history) - 1
-	for at > 0 && time.Since(e.history[at].at) < e.trouble.reportIn {
+	for at > 0 && time.Since(e.history[at].at) < e.faults.reportDelay {
 		at--
 	}
 	r := e.history[at].report
@@ -93,15 +93,15 @@
 	return &r, nil
 }
 
-// has says whether the engine has a model.
-func (e *engine) has(model string) bool {
+// hasModel reports whether the engine has a model, in any phase.
+func (e *engine) hasModel(model string) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.models[model]
 }
 
-// loadsSoFar counts the orders for models that were accepted.
-func (e *engine) loadsSoFar() int {
+// acceptedModelOrders returns the number of accepted orders for models.
+func (e *engine) acceptedModelOrders() int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.accepted
@@ -110,19 +110,19 @@
 func (e *engine) Order(ctx context.Context, _ *core.Runner, o core.RunnerOrder) (core.OrderResult, error) {
 	e.mu.Lock()
 	x := e.rnd.Float64()
-	tr := e.trouble
+	fs := e.faults
 	delay := 2*time.Second + time.Duration(e.rnd.Int64N(int64(10*time.Second)))
 	e.mu.Unlock()
 	time.Sleep(time.Millisecond)
 	switch {
-	case x < tr.lost:
+	case x < fs.lost:
 		<-ctx.Done()
 		return core.OrderUnknown, eris.Wrap(core.ErrLost, "lost")
-	case x < tr.lost+tr.unheard:
+	case x < fs.lost+fs.answerLost:
 		e.accept(o)
 		<-ctx.Done()
-		return core.OrderUnknown, eris.Wrap(core.ErrLost, "unheard")
-	case x < tr.lost+tr.unheard+tr.late:
+		return core.OrderUnknown, eris.Wrap(core.ErrLost, "answer lost")
+	case x < fs.lost+fs.answerLost+fs.late:
 		time.AfterFunc(delay, func() { e.accept(o) })
 		<-ctx.Done()
 		return core.OrderUnknown, eris.Wrap(core.ErrLost, "late")
@@ -130,11 +130,11 @@
 	return e.accept(o), nil
 }
 
-// accept checks an order and begins to carry it out.
+// accept checks an order and starts to carry it out.
 func (e *engine) accept(o core.RunnerOrder) core.OrderResult {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	defer e.note()
+	defer e.recordState()
 	e.terms = append(e.terms, o.Fence)
 	if o.Adapter != "" {
 		return e.acceptAdapter(o)
@@ -155,7 +155,7 @@
 	e.accepted++
 	e.order = name
 	e.models[o.Model] = true
-	e.check(o)
+	e.checkMemory(o)
 	time.AfterFunc(time.Duration(300+e.rnd.IntN(3000))*time.Millisecond, func() { e.finish(o) })
 	return core.OrderAccepted
 }
@@ -163,14 +163,14 @@
 func (e *engine) finish(o core.RunnerOrder) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	defer e.note()
+	defer e.recordState()
 	e.order = ""
 	if o.Load {
 		return
 	}
 	delete(e.models, o.Model)
 	maps.DeleteFunc(e.adapters, func(a string, _ bool) bool {
-		model, _, _ := cutAdapter(a)
+		model, _, _ := splitAdapterName(a)
 		return model == o.Model
 	})
 }
@@ -194,24 +194,24 @@
 		return core.OrderDone
 	}
 	e.adapters[name], e.coming[name] = true, true
-	e.check(o)
+	e.checkMemory(o)
 	time.AfterFunc(7*time.Millisecond, func() {
 		e.mu.Lock()
 		defer e.mu.Unlock()
 		delete(e.coming, name)
-		e.note()
+		e.recordState()
 	})
 	return core.OrderAccepted
 }
 
-// check fails the test where a real runner would crash.
-func (e *engine) check(o core.RunnerOrder) {
+// checkMemory fails the test where a real runner would crash.
+func (e *engine) checkMemory(o core.RunnerOrder) {
 	sum := 0.0
 	for m := range e.models {
 		sum += e.spec.Model(m).MemoryMB
 	}
 	for a := range e.adapters {
-		model, _, _ := cutAdapter(a)
+		model, _, _ := splitAdapterName(a)
 		sum += e.spec.Model(model).AdapterMB
 	}
 	if sum > e.spec.MemoryMB || len(e.adapters) > e.spec.AdapterSlots {
@@ -219,14 +219,14 @@
 	}
 }
 
-// orders sends to engines by runner.
-type orders map[string]*engine
+// fakeRunners sends each order to the engine of its runner.
+type fakeRunners map[string]*engine
 
-func (o orders) Order(ctx context.Context, r *core.Runner, order core.RunnerOrder) (core.OrderResult, error) {
+func (o fakeRunners) Order(ctx context.Context, r *core.Runner, order core.RunnerOrder) (core.OrderResult, error) {
 	return o[r.ID].Order(ctx, r, order)
 }
 
-func (o orders) Report(ctx context.Context, r *core.Runner) (*core.Report, error) {
+func (o fakeRunners) Report(ctx context.Context, r *core.Runner) (*core.Report, error) {
 	return o[r.ID].Report(ctx, r)
 }
 
--- a/coordination/placement/fatal.go
+++ b/coordination/placement/fatal.go
@@ -7,44 +7,45 @@
 	"primroseward/core"
 )
 
-// Guard holds back loads that have ended runners, as it does requests.
+// Guard holds back loads under which runners have exited, as it does requests.
 type Guard interface {
 	Held(d core.Digest) time.Duration
 	Broke(b core.Broken)
 	Worked(d core.Digest)
 }
 
-// Option changes a Holder.
+// Option configures a Holder.
 type Option func(*Holder)
 
-// WithLimited sets what tells whether a runner is limited in the requests a second that it
-// takes.
-func WithLimited(fn func(runner string) bool) Option { return func(h *Holder) { h.limited = fn } }
+// WithLimited sets the function that reports whether a runner limits the requests per
+// second that it accepts.
+func WithLimited(fn func(runner string) bool) Option { return func(h *Holder) { h.isLimited = fn } }
 
-// WithGuard asks a Guard before models are loaded.
+// WithGuard sets the Guard that is consulted before a model is loaded.
 func WithGuard(g Guard) Option { return func(h *Holder) { h.guard = g } }
 
-// loadHeld says whether a model is not to be loaded now, as runners that were ordered to
-// have ended. Weights may be broken, or not what the configuration says: ordered again
-// and again such a model takes runner after runner, with all other models there.
+// loadHeld reports whether a model must not be loaded now because runners have exited while
+// loading it. Its weights may be corrupt or differ from the configuration. If such a model
+// were ordered repeatedly, it would make one runner after another exit, each with all its
+// other models.
 func (h *Holder) loadHeld(service, model string) bool {
 	return model != "" && h.guard.Held(core.LoadDigest(service, model)) > 0
 }
 
-// noteLoadEnd tells the guard of a runner that has ended, or does not listen any more, while
-// it was to load a model. One that served requests as well may have ended under these, and
-// one that did not listen before it had heard of the load has not ended under it.
-func (h *Holder) noteLoadEnd(one *host, o core.RunnerOrder, err error) {
+// noteLoadExit reports to the guard that a runner exited, or stopped listening, while it was
+// to load a model. A runner that was also serving requests does not count, since one of these
+// may be the cause. Nor does a runner that stopped listening before it accepted the load.
+func (h *Holder) noteLoadExit(rs *runnerState, o core.RunnerOrder, err error) {
 	if !o.Load || o.Adapter != "" {
 		return
 	}
-	it := one.models[o.Model]
-	accepted := it != nil && it.accepted
+	item := rs.models[o.Model]
+	accepted := item != nil && item.accepted
 	if !errors.Is(err, core.ErrClosed) && !(accepted && errors.Is(err, core.ErrNoListener)) {
 		return
 	}
-	if one.runner.Draining || h.loads.View(one.runner.ID).Requests > 0 {
+	if rs.runner.Draining || h.loads.View(rs.runner.ID).Requests > 0 {
 		return
 	}
-	h.guard.Broke(core.BrokenLoad(one.runner.Service, o.Model, one.runner))
+	h.guard.Broke(core.BrokenLoad(rs.runner.Service, o.Model, rs.runner))
 }
--- a/coordination/placement/holder.go
+++ b/coordination/placement/holder.go
@@ -20,112 +20,116 @@
 )
 
 const (
-	planEvery = 200 * time.Millisecond
-	// orderLimit is when an order counts as unanswered; a runner answers
-	// within a few milliseconds and the way there.
-	orderLimit  = 500 * time.Millisecond
-	reportLimit = time.Second
-	// reportLag is how old a runner's report may be: one that is asked for
-	// sooner after a doubtful order may not show it.
+	planInterval = 200 * time.Millisecond
+	// orderTimeout is when an order counts as unanswered. A runner answers within a
+	// few milliseconds plus the network round trip.
+	orderTimeout  = 500 * time.Millisecond
+	reportTimeout = time.Second
+	// reportLag bounds the age of the state in a runner's report. A report requested
+	// sooner than this after an order with an unknown outcome may not show the order.
 	reportLag = 600 * time.Millisecond
-	// maxComing is how many adapters may be on their way to one runner.
-	maxComing = 4
-	// confirmFirst and confirmEvery are when an adapter's order is repeated to
-	// learn whether it is carried out: adapters take 5 to 10 ms.
-	confirmFirst = 6 * time.Millisecond
-	confirmEvery = 3 * time.Millisecond
-	// modelEvery is how often an order for a model is repeated for that, from
-	// modelShare of the time on that its load is said to take, in per cent. Asked
-	// from the start, loads of four seconds were two thirds of all orders.
-	modelEvery = 150 * time.Millisecond
-	modelShare = 90
-	// keepAdapter is how long an adapter that was asked for is not given up
-	// for another one.
-	keepAdapter = 300 * time.Millisecond
-	// heatHalf is the half-life of what counts as demand: models fall silent
-	// and rise within seconds.
-	heatHalf = 2 * time.Second
-	// retireLead is how long before the order for an unload the daemons are told
-	// to send no more requests for the model there: those that arrive after the
-	// order are rejected.
-	retireLead = 30 * time.Millisecond
-	// settleFor is how long no new runner must have come before placement goes by the
-	// list while nothing is asked for. Of 12 to 18 runners that start together each is
-	// listed within half a second of another, over two seconds; a heartbeat takes 1.2 s.
-	settleFor = 1500 * time.Millisecond
-	// loadBurst is how many loads from the weight store may begin at once, where its
-	// rate brings no more between two plans. Three more than the rate are allowed in a
-	// few seconds; one is left for a load that turns out to come from the store.
-	loadBurst = 2
-	// burstFor is the time whose loads by the weight store's rate may begin at once: a
-	// plan and half of the next one. A store that takes 30 a second would otherwise get
-	// ten, two in each plan.
-	burstFor = 300 * time.Millisecond
-	// termStart is how long a new holder waits for the daemons to tell what is
-	// asked for before it plans.
-	termStart = 600 * time.Millisecond
-	inboxSize = 1024
+	// maxAdaptersLoading limits the adapters that one runner loads at the same time.
+	maxAdaptersLoading = 4
+	// firstConfirmDelay and confirmInterval are the times after which an adapter's
+	// order is sent again to find out whether it has been carried out. Adapters take
+	// 5 to 10 ms to load.
+	firstConfirmDelay = 6 * time.Millisecond
+	confirmInterval   = 3 * time.Millisecond
+	// modelConfirmInterval is the interval at which an order for a model is sent
+	// again for the same purpose. For a load this begins after modelConfirmPercent of
+	// the configured load time. When it began at once, orders for loads of four
+	// seconds made up two thirds of all orders.
+	modelConfirmInterval = 150 * time.Millisecond
+	modelConfirmPercent  = 90
+	// minAdapterIdle is how long after its last request the only replica of an
+	// adapter is kept from being unloaded in favour of another adapter.
+	minAdapterIdle = 300 * time.Millisecond
+	// demandHalfLife is the half-life of the demand counts. Demand for a model starts
+	// and stops within seconds.
+	demandHalfLife = 2 * time.Second
+	// unloadNotice is the time between the notice to all daemons that a model is about
+	// to be unloaded from a runner and the order to unload it. The runner rejects
+	// requests for the model that arrive after the order.
+	unloadNotice = 30 * time.Millisecond
+	// settleTime is how long no new runner must have been listed before models are
+	// placed while there is no demand. Of 12 to 18 runners that start together, each is
+	// listed within half a second of another, over two seconds in total. A heartbeat
+	// takes 1.2 s.
+	settleTime = 1500 * time.Millisecond
+	// minLoadBurst is how many loads from the weight store may start at once when its
+	// rate allows fewer between two plans. The weight store accepts up to three loads
+	// above its rate within a few seconds. One of them is left for a load that was
+	// expected to use a local copy and comes from the store.
+	minLoadBurst = 2
+	// loadBurstWindow is the time for which loads at the weight store's rate may start
+	// at once: one plan interval and half of the next one. Without it, a store that
+	// takes 30 loads a second would get ten, two in each plan.
+	loadBurstWindow = 300 * time.Millisecond
+	// termStartDelay is how long a new holder collects the demand from the daemons
+	// before it plans.
+	termStartDelay = 600 * time.Millisecond
+	inboxSize      = 1024
 )
 
-// Orders sends orders to runners.
-type Orders interface {
+// RunnerClient sends orders to runners and fetches their reports.
+type RunnerClient interface {
 	Order(ctx context.Context, r *core.Runner, o core.RunnerOrder) (core.OrderResult, error)
 	Report(ctx context.Context, r *core.Runner) (*core.Report, error)
 }
 
-// Lease tells whether this daemon may send orders.
+// Lease reports whether this daemon may send orders.
 type Lease interface {
-	// Term returns the term in which orders may be sent now.
+	// Term returns the term in which orders may be sent now, and whether they may.
 	Term() (uint64, bool)
-	// Use is Term for an order that is sent at once.
+	// Use does the same for an order that is sent immediately.
 	Use() (uint64, bool)
 }
 
-// Placed is the answer to a request for a model or adapter.
-type Placed struct {
-	Runner string        `json:"runner,omitempty"` // has it now
-	Retry  time.Duration `json:"retry,omitempty"`  // when it may be there, if not now
+// PlaceResult is the result of a request for a model or an adapter.
+type PlaceResult struct {
+	Runner string        `json:"runner,omitempty"` // runner that has it now; empty if there is none
+	Retry  time.Duration `json:"retry,omitempty"`  // if there is none: when to try again
 }
 
-// Holder sends the orders while it holds the lease. All its state belongs to
-// one goroutine; others post functions to it.
+// Holder sends orders to the runners while this daemon holds the lease. All its
+// state is accessed by one goroutine only; other goroutines post functions to it.
 type Holder struct {
-	self    string
-	catalog *catalog.Catalog
-	loads   *load.Table
-	orders  Orders
-	lease   Lease
-	clock   core.Clock
-	log     *zap.Logger
-	count   func(name string)
-	tell    func(News)
-	replica *tree.Replica // the operators' settings; nil: none are kept
-	guard   Guard
-	limited func(runner string) bool
-
-	inbox    chan func()
-	term     uint64
-	hosts    map[string]*host
-	heat     map[dispatch.Want]float64
-	heatAt   time.Time
-	begun    time.Time                     // of the term
-	grown    time.Time                     // when a runner was last new
-	prior    map[string]map[string]float64 // demand to expect before any is seen, by service
-	waiting  map[dispatch.Want]*waiters
-	storeAt  time.Time // since when tokens of the weight store are counted
-	storeTok float64
+	self         string
+	catalog      *catalog.Catalog
+	loads        *load.Table
+	runnerClient RunnerClient
+	lease        Lease
+	clock        core.Clock
+	log          *zap.Logger
+	count        func(name string) // increments the metric "placement_" + name
+	broadcast    func(HoldingUpdate)
+	settings     *tree.Replica // the operators' settings tree; nil if there is none
+	guard        Guard
+	isLimited    func(runner string) bool
+
+	inbox         chan func()
+	term          uint64
+	runners       map[string]*runnerState
+	demand        map[dispatch.Want]float64
+	decayedAt     time.Time
+	termBegan     time.Time                     // start of the current term
+	lastNewRunner time.Time                     // when a runner was last added to the list
+	priorDemand   map[string]map[string]float64 // by service: demand assumed before any is measured
+	waiting       map[dispatch.Want]*waiters
+	storeTokensAt time.Time // when storeTokens was last updated
+	storeTokens   float64   // loads from the weight store that may start now
 
 	wg   sync.WaitGroup
 	done chan struct{}
 	stop context.CancelFunc
 }
 
-// New makes a Holder of the daemon self.
-func New(self string, c *catalog.Catalog, loads *load.Table, orders Orders, lease Lease, clock core.Clock, log *zap.Logger, count func(string), tell func(News), opts ...Option) *Holder {
+// New returns a Holder for the daemon named self.
+func New(self string, c *catalog.Catalog, loads *load.Table, client RunnerClient, lease Lease, clock core.Clock, log *zap.Logger, count func(string), broadcast func(HoldingUpdate), opts ...Option) *Holder {
 	h := &Holder{
-		self: self, catalog: c, loads: loads, orders: orders, lease: lease, clock: clock, log: log, count: count, tell: tell,
-		inbox: make(chan func(), inboxSize), hosts: map[string]*host{}, heat: map[dispatch.Want]float64{},
-		waiting: map[dispatch.Want]*waiters{}, guard: core.NoGuard{}, limited: func(string) bool { return false },
+		self: self, catalog: c, loads: loads, runnerClient: client, lease: lease, clock: clock, log: log, count: count, broadcast: broadcast,
+		inbox: make(chan func(), inboxSize), runners: map[string]*runnerState{}, demand: map[dispatch.Want]float64{},
+		waiting: map[dispatch.Want]*waiters{}, guard: core.NoGuard{}, isLimited: func(string) bool { return false },
 	}
 	for _, opt := range opts {
 		opt(h)
@@ -133,29 +137,30 @@
 	return h
 }
 
-// SetSettings lets orders keep to the operators' settings tree, before Start.
-func (h *Holder) SetSettings(r *tree.Replica) { h.replica = r }
+// SetSettings makes orders follow the operators' settings tree. It must be called
+// before Start.
+func (h *Holder) SetSettings(r *tree.Replica) { h.settings = r }
 
-// settings are those in force; nil where none say anything.
-func (h *Holder) settings() *tree.Tree {
-	if h.replica == nil {
+// settingsInForce returns the settings in force, or nil if there are none.
+func (h *Holder) settingsInForce() *tree.Tree {
+	if h.settings == nil {
 		return nil
 	}
-	return h.replica.InForce()
+	return h.settings.InForce()
 }
 
-// allowed says whether requests for a model of a service may be served in a
-// place. A copy anywhere else is of no use to anybody.
-func (h *Holder) allowed(service, model, place string) bool {
-	t := h.settings()
+// allowed reports whether requests for a model of a service may be served in a
+// data centre. A replica in any other data centre would never be used.
+func (h *Holder) allowed(service, model, dataCentre string) bool {
+	t := h.settingsInForce()
 	if t == nil {
 		return true
 	}
-	_, ok := t.Allowed(tree.Coord{Service: service, Model: model, Place: place})
+	_, ok := t.Allowed(tree.Coord{Service: service, Model: model, Place: dataCentre})
 	return ok
 }
 
-// Start begins to work.
+// Start starts the Holder's goroutine.
 func (h *Holder) Start() {
 	ctx, cancel := context.WithCancel(context.Background())
 	h.done = make(chan struct{})
@@ -167,22 +172,22 @@
 	go h.loop(ctx)
 }
 
-// Stop ends the work.
+// Stop stops the Holder and waits for its goroutines.
 func (h *Holder) Stop() {
 	h.stop()
 	h.wg.Wait()
 }
 
-// postSure hands fn to the loop and waits for room: an order whose outcome was
-// dropped would keep its runner from all further ones.
-func (h *Holder) postSure(fn func()) {
+// postBlocking passes fn to the loop and waits while the inbox is full. If the result
+// of an order were dropped, no further orders would be sent to its runner.
+func (h *Holder) postBlocking(fn func()) {
 	select {
 	case h.inbox <- fn:
 	case <-h.done:
 	}
 }
 
-// post hands fn to the loop; it is dropped when the loop is far behind.
+// post passes fn to the loop. If the inbox is full, fn is dropped.
 func (h *Holder) post(fn func()) {
 	select {
 	case h.inbox <- fn:
@@ -192,34 +197,35 @@
 	}
 }
 
-// Demand takes in what requests have asked for.
-func (h *Holder) Demand(counts map[dispatch.Want]float64) {
-	h.post(func() { h.addHeat(counts) })
+// AddDemand adds the requests counted by a daemon to the demand.
+func (h *Holder) AddDemand(counts map[dispatch.Want]float64) {
+	h.post(func() { h.addDemand(counts) })
 }
 
-// Place gets a model or adapter and calls answer once.
-func (h *Holder) Place(w dispatch.Want, answer func(Placed)) {
+// Place finds a runner for a model or adapter, has it loaded if necessary, and calls
+// answer once.
+func (h *Holder) Place(w dispatch.Want, answer func(PlaceResult)) {
 	h.post(func() { h.place(w, answer) })
 }
 
-// Moves returns the loads and unloads of models that are under way.
+// Moves returns the loads and unloads of models that are in progress.
 func (h *Holder) Moves(ctx context.Context) ([]policy.Move, error) {
 	ch := make(chan []policy.Move, 1)
-	h.post(func() { ch <- h.underWay() })
+	h.post(func() { ch <- h.movesInProgress() })
 	select {
 	case out := <-ch:
 		return out, nil
 	case <-ctx.Done():
-		return nil, eris.Wrap(core.ErrUnavailable, "placement is busy")
+		return nil, eris.Wrap(core.ErrUnavailable, "the holder of the lease of orders is busy")
 	}
 }
 
-func (h *Holder) underWay() []policy.Move {
+func (h *Holder) movesInProgress() []policy.Move {
 	var out []policy.Move
-	for id, one := range h.hosts {
-		for model, it := range one.models {
-			if it.phase != present {
-				out = append(out, policy.Move{Runner: id, Model: model, Load: it.phase == loading})
+	for id, rs := range h.runners {
+		for model, item := range rs.models {
+			if item.phase != present {
+				out = append(out, policy.Move{Runner: id, Model: model, Load: item.phase == loading})
 			}
 		}
 	}
@@ -228,7 +234,7 @@
 
 func (h *Holder) loop(ctx context.Context) {
 	defer h.wg.Done()
-	tick := h.clock.NewTicker(planEvery)
+	tick := h.clock.NewTicker(planInterval)
 	defer tick.Stop()
 	for {
 		select {
@@ -242,9 +248,10 @@
 	}
 }
 
-// hold says whether orders may be sent now. In a new term nothing that was
-// known in an earlier one counts: another holder may have ordered since.
-func (h *Holder) hold() bool {
+// ensureTerm reports whether orders may be sent now. At the start of a new term it
+// discards the state from earlier terms, since another holder may have sent orders in
+// between.
+func (h *Holder) ensureTerm() bool {
 	term, ok := h.lease.Term()
 	if !ok {
 		return false
@@ -252,53 +259,53 @@
 	if term != h.term {
 		h.log.Info(logs.TermBegins, zap.Uint64("term", term))
 		h.term = term
-		h.hosts = map[string]*host{}
-		h.storeAt, h.storeTok = h.clock.Now(), 0
-		h.begun, h.prior = h.clock.Now(), map[string]map[string]float64{}
+		h.runners = map[string]*runnerState{}
+		h.storeTokensAt, h.storeTokens = h.clock.Now(), 0
+		h.termBegan, h.priorDemand = h.clock.Now(), map[string]map[string]float64{}
 	}
 	return true
 }
 
-func (h *Holder) addHeat(counts map[dispatch.Want]float64) {
-	h.cool()
+func (h *Holder) addDemand(counts map[dispatch.Want]float64) {
+	h.decayDemand()
 	for w, n := range counts {
-		h.heat[w] += n
+		h.demand[w] += n
 		if w.Adapter == "" {
 			continue
 		}
-		for _, one := range h.hosts {
-			if a, ok := one.adapters[adapterKey{w.Model, w.Adapter}]; ok && one.runner.Service == w.Service {
-				a.used = h.clock.Now()
+		for _, rs := range h.runners {
+			if a, ok := rs.adapters[adapterKey{w.Model, w.Adapter}]; ok && rs.runner.Service == w.Service {
+				a.lastUsed = h.clock.Now()
 			}
 		}
 	}
 }
 
-// cool lets old demand fade.
-func (h *Holder) cool() {
+// decayDemand reduces the demand counts by the time since the last call.
+func (h *Holder) decayDemand() {
 	now := h.clock.Now()
-	share := halved(now.Sub(h.heatAt), heatHalf)
-	h.heatAt = now
-	for w, v := range h.heat {
+	share := halfLifeDecay(now.Sub(h.decayedAt), demandHalfLife)
+	h.decayedAt = now
+	for w, v := range h.demand {
 		if v *= share; v < 0.01 {
-			delete(h.heat, w)
+			delete(h.demand, w)
 			continue
 		}
-		h.heat[w] = v
+		h.demand[w] = v
 	}
 }
 
-// refresh takes in which runners there are, and asks those that are not known
-// for a report.
-func (h *Holder) refresh() {
+// refreshRunners updates the list of runners from the catalog and requests a report
+// from each runner whose state is unknown.
+func (h *Holder) refreshRunners() {
 	config := h.catalog.Config()
 	if config == nil {
 		return
 	}
 	all, now := h.catalog.All(), h.clock.Now()
-	for id := range h.hosts {
+	for id := range h.runners {
 		if all[id] == nil {
-			delete(h.hosts, id)
+			delete(h.runners, id)
 		}
 	}
 	for id, e := range all {
@@ -306,101 +313,103 @@
 		if service == nil || service.Engine == nil {
 			continue
 		}
-		one, ok := h.hosts[id]
-		if !ok || !one.runner.Born.Equal(e.Born) {
-			next := newHost(e.Runner, service.Engine)
+		rs, ok := h.runners[id]
+		if !ok || !rs.runner.Born.Equal(e.Born) {
+			next := newRunnerState(e.Runner, service.Engine)
 			if ok {
-				next.late = one.mayCome()
+				next.formerUnanswered = rs.ordersForNextInstance()
 			} else {
-				h.grown = now
+				h.lastNewRunner = now
 			}
-			one = next
-			h.hosts[id] = one
+			rs = next
+			h.runners[id] = rs
 		}
-		one.runner, one.engine = e.Runner, service.Engine
-		one.limited = h.limited(id)
-		if down := h.loads.Down(id); down != one.down {
-			one.down = down
-			h.log.Info(logs.RunnerDown, zap.String("runner", id), zap.Bool("down", down), zap.Int("models", len(one.models)))
+		rs.runner, rs.engine = e.Runner, service.Engine
+		rs.limited = h.isLimited(id)
+		if down := h.loads.Down(id); down != rs.down {
+			rs.down = down
+			h.log.Info(logs.RunnerDown, zap.String("runner", id), zap.Bool("down", down), zap.Int("models", len(rs.models)))
 		}
-		one.late = slices.DeleteFunc(one.late, func(o lateOrder) bool { return !now.Before(o.until) })
-		h.sync(one)
+		rs.formerUnanswered = slices.DeleteFunc(rs.formerUnanswered, func(o unansweredLoad) bool { return !now.Before(o.expiresAt) })
+		h.requestReport(rs)
 	}
 }
 
-// sync asks a runner for its state, unless it is down. A runner that is at work on an
-// order that is not known here is asked again: its memory can't be known.
-func (h *Holder) sync(one *host) {
-	if one.synced || one.asking || one.sending || one.down || h.clock.Now().Before(one.retryAt) {
+// requestReport requests a runner's state unless it is down. If the runner is executing
+// an order that this holder did not send, its memory use is unknown and the report is
+// requested again later.
+func (h *Holder) requestReport(rs *runnerState) {
+	if rs.synced || rs.reportPending || rs.orderPending || rs.down || h.clock.Now().Before(rs.reportAfter) {
 		return
 	}
-	one.asking = true
+	rs.reportPending = true
 	h.wg.Add(1)
-	go h.runReport(one, one.runner, h.term)
+	go h.fetchReport(rs, rs.runner, h.term)
 }
 
-func (h *Holder) runReport(one *host, r core.Runner, term uint64) {
+func (h *Holder) fetchReport(rs *runnerState, r core.Runner, term uint64) {
 	defer h.wg.Done()
-	ctx, cancel := context.WithTimeout(context.Background(), reportLimit)
+	ctx, cancel := context.WithTimeout(context.Background(), reportTimeout)
 	defer cancel()
-	report, err := h.orders.Report(ctx, &r)
-	h.postSure(func() { h.reported(term, one, report, err) })
+	report, err := h.runnerClient.Report(ctx, &r)
+	h.postBlocking(func() { h.handleReport(term, rs, report, err) })
 }
 
-func (h *Holder) reported(term uint64, one *host, report *core.Report, err error) {
-	one.asking = false
-	h.noteRefused(one, err)
-	if term != h.term || h.hosts[one.runner.ID] != one {
+func (h *Holder) handleReport(term uint64, rs *runnerState, report *core.Report, err error) {
+	rs.reportPending = false
+	h.noteNoListener(rs, err)
+	if term != h.term || h.runners[rs.runner.ID] != rs {
 		return
 	}
 	if err != nil || report.Busy {
-		one.retryAt = h.clock.Now().Add(reportLag / 2)
+		rs.reportAfter = h.clock.Now().Add(reportLag / 2)
 		if err != nil {
-			h.log.Info(logs.RunnerSilent, zap.String("runner", one.runner.ID), logs.Err(err))
+			h.log.Info(logs.RunnerSilent, zap.String("runner", rs.runner.ID), logs.Err(err))
 		}
 		return
 	}
-	one.take(report, h.clock.Now())
-	h.log.Info(logs.RunnerKnown, zap.String("runner", one.runner.ID), zap.Uint64("sequence", one.sequence),
-		zap.Int("models", len(one.models)), zap.Int("adapters", len(one.adapters)))
+	rs.applyReport(report, h.clock.Now())
+	h.log.Info(logs.RunnerKnown, zap.String("runner", rs.runner.ID), zap.Uint64("sequence", rs.sequence),
+		zap.Int("models", len(rs.models)), zap.Int("adapters", len(rs.adapters)))
 }
 
-// noteRefused takes in that nothing listens at a runner's address.
-func (h *Holder) noteRefused(one *host, err error) {
+// noteNoListener records that nothing listens at a runner's address.
+func (h *Holder) noteNoListener(rs *runnerState, err error) {
 	if errors.Is(err, core.ErrNoListener) {
-		h.loads.Refused(one.runner.ID)
+		h.loads.Refused(rs.runner.ID)
 	}
 }
 
-// plan sends the orders for models that the policy wants, and the adapters
-// that could not be sent before.
+// plan sends the orders for models that the policy decides on and retries the
+// adapters that are still waited for.
 func (h *Holder) plan() {
-	if !h.hold() {
+	if !h.ensureTerm() {
 		return
 	}
-	h.refresh()
-	h.cool()
+	h.refreshRunners()
+	h.decayDemand()
 	config := h.catalog.Config()
 	if config == nil {
 		return
 	}
 	for name, s := range config.Services {
-		if s.Engine != nil && h.clock.Since(h.begun) >= termStart {
+		if s.Engine != nil && h.clock.Since(h.termBegan) >= termStartDelay {
 			h.planService(name, s.Engine)
 		}
 	}
 	for w := range h.waiting {
-		h.advance(w)
+		h.advanceAdapter(w)
 	}
 }
 
-// after posts fn in a while.
-func (h *Holder) after(d time.Duration, fn func()) {
-	h.clock.AfterFunc(d, func() { h.postSure(fn) })
+// postAfter posts fn to the loop after d.
+func (h *Holder) postAfter(d time.Duration, fn func()) {
+	h.clock.AfterFunc(d, func() { h.postBlocking(fn) })
 }
 
-// halved is what is left after t of something that halves every half.
-func halved(t, half time.Duration) float64 {
+// halfLifeDecay returns the share that is left after t of a quantity with the given
+// half-life.
+func halfLifeDecay(t, half time.Duration) float64 {
 	share := 1.0
 	for ; t >= half; t -= half {
 		share /= 2
--- a/coordination/placement/models.go
+++ b/coordination/placement/models.go
@@ -10,192 +10,200 @@
 	"primroseward/io/logs"
 )
 
+// planService sends the orders for a service's models that the policy decides on, and
+// preloads adapters.
 func (h *Holder) planService(service string, engine *core.Engine) {
-	heat := map[string]float64{}
-	for w, v := range h.heat {
+	demand := map[string]float64{}
+	for w, v := range h.demand {
 		if w.Service == service {
-			heat[w.Model] += v
+			demand[w.Model] += v
 		}
 	}
-	if len(heat) == 0 && h.clock.Since(h.grown) < settleFor {
-		// Models of runners that are not listed yet would count as absent, and copies of
-		// the busy ones give way for them: 6 of 25 loads from the weight store in a day
-		// of 12 runners, 6 of 42 in one of 18. Nobody waits for a model yet.
+	if len(demand) == 0 && h.clock.Since(h.lastNewRunner) < settleTime {
+		// Models of runners that are not listed yet would count as absent, and replicas of
+		// busy models would be unloaded in their favour. This caused 6 of 25 loads from the
+		// weight store in a day of 12 runners, and 6 of 42 in one of 18. No request is
+		// waiting for a model yet.
 		return
 	}
 	var states []*policy.HostState
-	for _, one := range h.hosts {
-		if one.runner.Service == service {
-			requests := h.loads.View(one.runner.ID).Requests
-			s := one.state(requests, h.clock.Now())
-			if h.settings() != nil {
+	for _, rs := range h.runners {
+		if rs.runner.Service == service {
+			requests := h.loads.View(rs.runner.ID).Requests
+			s := rs.policyState(requests, h.clock.Now())
+			if h.settingsInForce() != nil {
 				s.Allows = func(model string) bool { return h.allowed(service, model, s.Place) }
 			}
 			states = append(states, s)
 		}
 	}
-	if len(heat) == 0 {
-		heat = h.priorOf(service, states)
+	if len(demand) == 0 {
+		demand = h.priorDemandFor(service, states)
 	}
 	var opts []policy.PlaceOption
 	if h.paused() {
 		opts = append(opts, policy.RepairOnly())
 	}
-	for _, m := range policy.Place(engine, states, heat, opts...) {
+	for _, m := range policy.Place(engine, states, demand, opts...) {
 		if m.Load && h.loadHeld(service, m.Model) || !m.Load && h.loadHeld(service, m.For) {
 			continue
 		}
-		one := h.hosts[m.Runner]
-		if m.Load && !one.hasLocal(m.Model, h.clock.Now()) && !h.storeToken(engine) {
+		rs := h.runners[m.Runner]
+		if m.Load && !rs.hasLocalCopy(m.Model, h.clock.Now()) && !h.takeStoreToken(engine) {
 			continue
 		}
-		h.orderModel(one, m)
+		h.orderModel(rs, m)
 	}
-	h.preload(service, engine)
+	h.preloadAdapters(service, engine)
 }
 
-// paused says whether operators want no orders but those that keep models and
-// adapters reachable.
+// paused reports whether the settings allow only orders that keep models and adapters
+// reachable.
 func (h *Holder) paused() bool {
-	t := h.settings()
+	t := h.settingsInForce()
 	return t != nil && t.Store().Pause
 }
 
-// priorOf is read once in a term: the plan's own moves would change it.
-func (h *Holder) priorOf(service string, states []*policy.HostState) map[string]float64 {
-	if p, ok := h.prior[service]; ok {
+// priorDemandFor returns the demand assumed for a service's models before any is measured.
+// It is computed once per term, since the plan's own moves would change it. It is empty
+// while the state of one of the service's runners is unknown.
+func (h *Holder) priorDemandFor(service string, states []*policy.HostState) map[string]float64 {
+	if p, ok := h.priorDemand[service]; ok {
 		return p
 	}
-	for _, one := range h.hosts {
-		if one.runner.Service == service && !one.synced {
+	for _, rs := range h.runners {
+		if rs.runner.Service == service && !rs.synced {
 			return map[string]float64{}
 		}
 	}
-	h.prior[service] = policy.Prior(states)
-	return h.prior[service]
+	h.priorDemand[service] = policy.Prior(states)
+	return h.priorDemand[service]
 }
 
-// storeToken takes a load from the weight store's rate.
-func (h *Holder) storeToken(engine *core.Engine) bool {
+// takeStoreToken reports whether a load may start within the weight store's rate, and
+// counts it.
+func (h *Holder) takeStoreToken(engine *core.Engine) bool {
 	now := h.clock.Now()
-	h.storeTok = min(burst(engine), h.storeTok+now.Sub(h.storeAt).Seconds()*engine.LoadsPerSec)
-	h.storeAt = now
-	if h.storeTok < 1 {
+	h.storeTokens = min(loadBurst(engine), h.storeTokens+now.Sub(h.storeTokensAt).Seconds()*engine.LoadsPerSec)
+	h.storeTokensAt = now
+	if h.storeTokens < 1 {
 		return false
 	}
-	h.storeTok--
+	h.storeTokens--
 	return true
 }
 
-// burst is how many loads from the weight store may begin at once.
-func burst(engine *core.Engine) float64 {
-	return max(loadBurst, burstFor.Seconds()*engine.LoadsPerSec)
+// loadBurst returns how many loads from the weight store may start at once.
+func loadBurst(engine *core.Engine) float64 {
+	return max(minLoadBurst, loadBurstWindow.Seconds()*engine.LoadsPerSec)
 }
 
-// orderModel sends an order for a model. Before an unload the daemons learn of
-// it.
-func (h *Holder) orderModel(one *host, m policy.Move) {
+// orderModel sends an order for a model. Before an unload it notifies all daemons and waits
+// for unloadNotice.
+func (h *Holder) orderModel(rs *runnerState, m policy.Move) {
 	if m.Load {
-		it := &item{phase: loading, used: h.clock.Now()}
-		one.models[m.Model] = it
-		h.sendModel(one, m, it)
+		item := &placedItem{phase: loading, lastUsed: h.clock.Now()}
+		rs.models[m.Model] = item
+		h.sendModel(rs, m, item)
 		return
 	}
-	it := one.models[m.Model]
-	it.phase = unloading
-	one.promised = m.For
-	h.tell(News{Runner: one.runner.ID, Model: m.Model})
-	h.after(retireLead, func() {
-		if h.mayOrder(one, one.models[m.Model], it) {
-			h.sendModel(one, m, it)
+	item := rs.models[m.Model]
+	item.phase = unloading
+	rs.reservedFor = m.For
+	h.broadcast(HoldingUpdate{Runner: rs.runner.ID, Model: m.Model})
+	h.postAfter(unloadNotice, func() {
+		if h.mayStillOrder(rs, rs.models[m.Model], item) {
+			h.sendModel(rs, m, item)
 		}
 	})
 }
 
-// mayOrder says whether an order that was put off may be sent: the runner's item is
-// still the one that it was decided on, and this daemon still holds the lease.
-func (h *Holder) mayOrder(one *host, now, decided *item) bool {
-	return now == decided && h.hosts[one.runner.ID] == one && h.hold()
+// mayStillOrder reports whether a delayed order may still be sent: the runner's current item
+// is the one for which the order was decided, and this daemon still holds the lease.
+func (h *Holder) mayStillOrder(rs *runnerState, current, decided *placedItem) bool {
+	return current == decided && h.runners[rs.runner.ID] == rs && h.ensureTerm()
 }
 
-func (h *Holder) sendModel(one *host, m policy.Move, it *item) {
-	if one.sending {
-		h.after(confirmEvery, func() {
-			if h.mayOrder(one, one.models[m.Model], it) {
-				h.sendModel(one, m, it)
+func (h *Holder) sendModel(rs *runnerState, m policy.Move, item *placedItem) {
+	if rs.orderPending {
+		h.postAfter(confirmInterval, func() {
+			if h.mayStillOrder(rs, rs.models[m.Model], item) {
+				h.sendModel(rs, m, item)
 			}
 		})
 		return
 	}
-	h.log.Info(logs.OrderSent, zap.String("runner", one.runner.ID), zap.String("model", m.Model), zap.Bool("load", m.Load),
-		zap.String("for", m.For), zap.Uint64("expected", one.sequence), zap.Bool("local", one.hasLocal(m.Model, h.clock.Now())))
-	h.send(one, core.RunnerOrder{Load: m.Load, Model: m.Model}, func(result core.OrderResult) {
-		h.modelOrdered(one, m, it, result)
+	h.log.Info(logs.OrderSent, zap.String("runner", rs.runner.ID), zap.String("model", m.Model), zap.Bool("load", m.Load),
+		zap.String("for", m.For), zap.Uint64("expected", rs.sequence), zap.Bool("local", rs.hasLocalCopy(m.Model, h.clock.Now())))
+	h.send(rs, core.RunnerOrder{Load: m.Load, Model: m.Model}, func(result core.OrderResult) {
+		h.handleModelResult(rs, m, item, result)
 	})
 }
 
-func (h *Holder) modelOrdered(one *host, m policy.Move, it *item, result core.OrderResult) {
-	if one.models[m.Model] != it {
-		return // the runner has been read anew since
+func (h *Holder) handleModelResult(rs *runnerState, m policy.Move, item *placedItem, result core.OrderResult) {
+	if rs.models[m.Model] != item {
+		return // a report has replaced the state since
 	}
 	switch result {
 	case core.OrderDone:
-		h.modelDone(one, m, it)
+		h.finishModelMove(rs, m, item)
 	case core.OrderAccepted, core.OrderConflict:
-		// A conflict after an acceptance is the order itself in progress; one
-		// before it leaves the sequence in doubt, and send has seen to that.
-		if one.synced {
-			h.after(h.untilAsked(one, m, it), func() { h.confirmModel(one, m, it) })
+		// A conflict after the order was accepted means that the same order is in progress. A
+		// conflict before that means that the sequence is unknown, and send has requested a
+		// report.
+		if rs.synced {
+			h.postAfter(h.confirmDelay(rs, m, item), func() { h.confirmModel(rs, m, item) })
 		}
 	case core.OrderUnknown, core.OrderRefused, core.OrderWrongHost:
-		// It counts as taken until the runner has been read anew, which send sees to.
+		// The memory counts as occupied until a report, requested by send, has been applied.
 	}
 }
 
-// untilAsked is when to ask next whether an order has been carried out.
-func (h *Holder) untilAsked(one *host, m policy.Move, it *item) time.Duration {
+// confirmDelay returns how long to wait before checking again whether an order has been
+// carried out.
+func (h *Holder) confirmDelay(rs *runnerState, m policy.Move, item *placedItem) time.Duration {
 	if !m.Load {
-		return modelEvery
+		return modelConfirmInterval
 	}
-	return max(modelEvery, one.loadTime(m.Model)*modelShare/100-h.clock.Since(it.used))
+	return max(modelConfirmInterval, rs.loadTime(m.Model)*modelConfirmPercent/100-h.clock.Since(item.lastUsed))
 }
 
-func (h *Holder) confirmModel(one *host, m policy.Move, it *item) {
-	if !h.mayOrder(one, one.models[m.Model], it) {
+func (h *Holder) confirmModel(rs *runnerState, m policy.Move, item *placedItem) {
+	if !h.mayStillOrder(rs, rs.models[m.Model], item) {
 		return
 	}
-	if one.sending {
-		h.after(modelEvery, func() { h.confirmModel(one, m, it) })
+	if rs.orderPending {
+		h.postAfter(modelConfirmInterval, func() { h.confirmModel(rs, m, item) })
 		return
 	}
-	h.confirm(one, core.RunnerOrder{Load: m.Load, Model: m.Model}, func(result core.OrderResult) {
-		h.modelOrdered(one, m, it, result)
+	h.confirm(rs, core.RunnerOrder{Load: m.Load, Model: m.Model}, func(result core.OrderResult) {
+		h.handleModelResult(rs, m, item, result)
 	})
 }
 
-func (h *Holder) modelDone(one *host, m policy.Move, it *item) {
-	h.log.Info(logs.OrderDone, zap.String("runner", one.runner.ID), zap.String("model", m.Model), zap.Bool("load", m.Load))
+func (h *Holder) finishModelMove(rs *runnerState, m policy.Move, item *placedItem) {
+	h.log.Info(logs.OrderDone, zap.String("runner", rs.runner.ID), zap.String("model", m.Model), zap.Bool("load", m.Load))
 	if m.Load {
-		it.phase = present
-		one.loaded[m.Model] = h.clock.Now()
-		h.guard.Worked(core.LoadDigest(one.runner.Service, m.Model))
+		item.phase = present
+		rs.loadedAt[m.Model] = h.clock.Now()
+		h.guard.Worked(core.LoadDigest(rs.runner.Service, m.Model))
 		h.count("models_loaded")
-		h.tell(News{Runner: one.runner.ID, Model: m.Model, Held: true})
+		h.broadcast(HoldingUpdate{Runner: rs.runner.ID, Model: m.Model, Held: true})
 		return
 	}
-	delete(one.models, m.Model)
-	for key := range one.adapters {
+	delete(rs.models, m.Model)
+	for key := range rs.adapters {
 		if key.model == m.Model {
-			delete(one.adapters, key)
+			delete(rs.adapters, key)
 		}
 	}
 	h.count("models_unloaded")
-	next := one.promised
-	one.promised = ""
-	if _, held := one.models[next]; next == "" || held || !one.usable(one.runner.Service) || h.loadHeld(one.runner.Service, next) {
+	next := rs.reservedFor
+	rs.reservedFor = ""
+	if _, held := rs.models[next]; next == "" || held || !rs.usable(rs.runner.Service) || h.loadHeld(rs.runner.Service, next) {
 		return
 	}
-	if spec := one.engine.Model(next); spec != nil && one.freeMB() >= spec.MemoryMB && (one.hasLocal(next, h.clock.Now()) || h.storeToken(one.engine)) {
-		h.orderModel(one, policy.Move{Runner: one.runner.ID, Model: next, Load: true})
+	if spec := rs.engine.Model(next); spec != nil && rs.freeMB() >= spec.MemoryMB && (rs.hasLocalCopy(next, h.clock.Now()) || h.takeStoreToken(rs.engine)) {
+		h.orderModel(rs, policy.Move{Runner: rs.runner.ID, Model: next, Load: true})
 	}
 }
--- a/coordination/placement/news.go
+++ b/coordination/placement/news.go
@@ -13,80 +13,81 @@
 )
 
 const (
-	// newsLag is how long news of what a runner has may wait for more. A plan
-	// loads an adapter on each of 90 runners within milliseconds; told one by
-	// one to 69 daemons they were 47 of 155 MB a day between places.
-	newsLag = 100 * time.Millisecond
-	// maxNews keeps a datagram of news below a packet of 1,500 bytes.
-	maxNews = 12
+	// updateDelay is how long an update about a loaded model or adapter may wait to be
+	// sent together with others. A plan loads an adapter on each of 90 runners within
+	// milliseconds. Sent one by one to 69 daemons, these updates accounted for 47 of
+	// 155 MB a day of traffic between data centres.
+	updateDelay = 100 * time.Millisecond
+	// maxUpdates keeps a datagram of updates below a packet of 1,500 bytes.
+	maxUpdates = 12
 )
 
-// News tells the daemons of a model or adapter that a runner has, or will soon
-// not have. Runners' own descriptions come a second later, and leave adapters
-// out.
-type News struct {
+// HoldingUpdate reports to the daemons a model or adapter that a runner has loaded, or
+// that it is about to unload. The runners' own descriptions arrive a second later and do
+// not list adapters.
+type HoldingUpdate struct {
 	Runner  string `json:"r"`
 	Model   string `json:"m"`
 	Adapter string `json:"a,omitempty"`
 	Held    bool   `json:"h,omitempty"`
 }
 
-// Learner takes in what the holder tells of the runners.
-type Learner interface {
+// HoldingRecorder records which models and adapters the runners hold.
+type HoldingRecorder interface {
 	Learn(runner, model, adapter string, held bool)
 }
 
-// Spreader brings the holder's news to all daemons.
-type Spreader struct {
-	peers   *peers.Peers
-	learner Learner
-	clock   core.Clock
-	mu      sync.Mutex
-	waiting []News
+// Broadcaster sends the holder's updates to all daemons.
+type Broadcaster struct {
+	peers    *peers.Peers
+	recorder HoldingRecorder
+	clock    core.Clock
+	mu       sync.Mutex
+	waiting  []HoldingUpdate
 }
 
-// NewSpreader makes a Spreader, which also takes in the news of other daemons.
-func NewSpreader(p *peers.Peers, l Learner, clock core.Clock, log *zap.Logger) *Spreader {
-	s := &Spreader{peers: p, learner: l, clock: clock}
-	p.Handle(kindNews, func(from peers.Peer, body json.RawMessage, _ func(any)) {
-		var list []News
+// NewSpreader returns a Broadcaster, which also records the updates of other daemons.
+func NewSpreader(p *peers.Peers, recorder HoldingRecorder, clock core.Clock, log *zap.Logger) *Broadcaster {
+	b := &Broadcaster{peers: p, recorder: recorder, clock: clock}
+	p.Handle(kindUpdate, func(from peers.Peer, body json.RawMessage, _ func(any)) {
+		var list []HoldingUpdate
 		if err := json.Unmarshal(body, &list); err != nil {
 			log.Warn(logs.MessageUnreadable, zap.String("other", from.Name), logs.Err(err))
 			return
 		}
-		for _, n := range list {
-			l.Learn(n.Runner, n.Model, n.Adapter, n.Held)
+		for _, u := range list {
+			recorder.Learn(u.Runner, u.Model, u.Adapter, u.Held)
 		}
 	})
-	return s
+	return b
 }
 
-// Tell tells all daemons, this one included. What a runner will not have any more
-// is told at once, as requests for it must end before the order; what it has
-// waits a moment for more.
-func (s *Spreader) Tell(n News) {
-	s.learner.Learn(n.Runner, n.Model, n.Adapter, n.Held)
-	s.mu.Lock()
-	s.waiting = append(s.waiting, n)
-	first := len(s.waiting) == 1
-	full := len(s.waiting) >= maxNews
-	s.mu.Unlock()
+// Tell sends an update to all daemons, including this one. An update about an unload is
+// sent immediately, since requests for the model or adapter must stop before the order to
+// unload it is sent. An update about a load waits up to updateDelay for others.
+func (b *Broadcaster) Tell(u HoldingUpdate) {
+	b.recorder.Learn(u.Runner, u.Model, u.Adapter, u.Held)
+	b.mu.Lock()
+	b.waiting = append(b.waiting, u)
+	first := len(b.waiting) == 1
+	full := len(b.waiting) >= maxUpdates
+	b.mu.Unlock()
 	switch {
-	case !n.Held || full:
-		s.flush()
+	case !u.Held || full:
+		b.flush()
 	case first:
-		s.clock.AfterFunc(newsLag, s.flush)
+		b.clock.AfterFunc(updateDelay, b.flush)
 	}
 }
 
-// flush sends what waits, in the order in which it was told.
-func (s *Spreader) flush() {
-	s.mu.Lock()
-	list := s.waiting
-	s.waiting = nil
-	s.mu.Unlock()
+// flush sends the waiting updates in the order in which they were added.
+func (b *Broadcaster) flush() {
+	b.mu.Lock()
+	list := b.waiting
+	b.waiting = nil
+	b.mu.Unlock()
 	if len(list) == 0 {
 		return
 	}
-	s.peers.TellAll(kindNews, list)
+	b.peers.TellAll(kindUpdate, list)
 }
--- a/coordination/placement/restart_test.go
+++ b/coordination/placement/restart_test.go
@@ -15,176 +15,177 @@
 	"primroseward/core"
 )
 
-// A model of a runner that has started again under its id is not brought back: the
-// holder goes by what it knows of the former life, orders by its sequence, and each
-// order is refused. The plan is made from what the new life reports.
+// Guards against not reloading a model of a runner that has restarted under the same id. The
+// holder used the state and the sequence of the former instance, so that the runner refused
+// every order. The plan must use the report of the new instance.
 func TestRestartedRunnerIsReadAnew(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newWorld(t, 2, 2, trouble{reportIn: 200 * time.Millisecond}, 1)
-		w.run(1, func() {
+		fx := newFixture(t, 2, 2, faults{reportDelay: 200 * time.Millisecond}, 1)
+		fx.run(1, func() {
 			time.Sleep(8 * time.Second)
-			assert.Assert(t, w.engines["r1"].has("m1"))
-			w.restart("r1", time.Now())
+			assert.Assert(t, fx.engines["r1"].hasModel("m1"))
+			fx.restart("r1", time.Now())
 			time.Sleep(6 * time.Second)
-			assert.Assert(t, w.engines["r0"].has("m1") || w.engines["r1"].has("m1"), "m1 is not back")
+			assert.Assert(t, fx.engines["r0"].hasModel("m1") || fx.engines["r1"].hasModel("m1"), "m1 has not been loaded again")
 		})
 	})
 }
 
-// restart lets a runner start again under its id, empty.
-func (w *world) restart(id string, born time.Time) {
-	e := w.engines[id]
+// restart restarts a runner under its id, without models or adapters.
+func (fx *fixture) restart(id string, born time.Time) {
+	e := fx.engines[id]
 	e.mu.Lock()
 	e.models, e.adapters, e.coming = map[string]bool{}, map[string]bool{}, map[string]bool{}
 	e.sequence, e.order, e.history = 0, "", nil
-	e.note()
+	e.recordState()
 	e.mu.Unlock()
-	r := w.catalog.Runner(id).Runner
+	r := fx.catalog.Runner(id).Runner
 	r.Born, r.Holdings, r.Sequence = born, nil, 0
-	w.catalog.Put(r, time.Now())
+	fx.catalog.Put(r, time.Now())
 }
 
-// A runner crashes as soon as it is back: an order to its former life was carried out
-// late, when the new life's count of orders had come to the one that it expected, on top
-// of what the new life had been ordered to load. Restarts come at any moment, twice
-// within a second, too, and holders change in between.
+// Guards against a crash shortly after a restart. An order sent to the former instance was
+// carried out late, when the new instance's sequence had reached the one that the order
+// expected, in addition to what the new instance had been ordered to load. Restarts happen at
+// arbitrary times, also twice within a second.
 func TestLateOrdersOfAFormerLife(t *testing.T) {
 	for seed := range uint64(20) {
 		synctest.Test(t, func(t *testing.T) {
 			rnd := rand.New(rand.NewPCG(seed, 99))
-			w := newWorld(t, 3, 6, trouble{late: 0.3, reportIn: 200 * time.Millisecond}, seed)
-			w.run(1, func() {
+			fx := newFixture(t, 3, 6, faults{late: 0.3, reportDelay: 200 * time.Millisecond}, seed)
+			fx.run(1, func() {
 				for range 12 {
 					time.Sleep(time.Duration(500+rnd.IntN(2500)) * time.Millisecond)
 					id := fmt.Sprintf("r%d", rnd.IntN(3))
 					for range 1 + rnd.IntN(2) {
-						w.restart(id, time.Now())
+						fx.restart(id, time.Now())
 						time.Sleep(time.Duration(rnd.IntN(400)) * time.Millisecond)
 					}
-					w.holder.Demand(map[dispatch.Want]float64{{Service: "s", Model: modelName(rnd.IntN(6)), Adapter: "a1"}: 5})
+					fx.holder.AddDemand(map[dispatch.Want]float64{{Service: "s", Model: modelName(rnd.IntN(6)), Adapter: "a1"}: 5})
 				}
 			})
 		})
 	}
 }
 
-// The same, step by step: room is kept for an order that a former life has not answered
-// until the new life's count has gone by what it expects, or it can't come any more.
+// Tests the same step by step: memory is reserved for an unanswered order to a former instance
+// until the new instance's sequence has passed the expected one or the order has expired.
 func TestRoomForALateOrder(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newWorld(t, 1, 0, trouble{}, 1)
+		fx := newFixture(t, 1, 0, faults{}, 1)
 		for i := range 4 {
-			w.spec.Models = append(w.spec.Models, core.Model{Name: modelName(i), MemoryMB: 60, AdapterMB: 4})
+			fx.spec.Models = append(fx.spec.Models, core.Model{Name: modelName(i), MemoryMB: 60, AdapterMB: 4})
 		}
-		w.configure(2)
-		h := w.holder
-		h.refresh()
-		h.hosts["r0"].sequence = 3
-		h.hosts["r0"].sentOut(core.RunnerOrder{Load: true, Model: "m3", Expected: 3}, time.Now())
-		h.hosts["r0"].sentOut(core.RunnerOrder{Load: true, Model: "m2", Expected: 3}, time.Now())
-		h.hosts["r0"].answeredFor(core.RunnerOrder{Load: true, Model: "m2", Expected: 3})
-		w.restart("r0", time.Now())
-		h.refresh()
-		one := h.hosts["r0"]
-		assert.Equal(t, one.freeMB(), 140.0)
-		one.models["m0"], one.models["m1"], one.sequence = &item{phase: present}, &item{phase: present}, 2
-		assert.Equal(t, one.freeMB(), 20.0, "a third model and the late one do not fit")
-		one.sequence = 4
-		assert.Equal(t, one.freeMB(), 80.0)
-		one.sequence = 2
-		w.restart("r0", time.Now().Add(time.Millisecond))
-		h.refresh()
-		assert.Equal(t, h.hosts["r0"].freeMB(), 140.0, "kept over another restart")
-		time.Sleep(lateFor)
-		h.refresh()
-		assert.Equal(t, h.hosts["r0"].freeMB(), 200.0)
-		w.holder.wg.Wait()
+		fx.configure(2)
+		h := fx.holder
+		h.refreshRunners()
+		h.runners["r0"].sequence = 3
+		h.runners["r0"].addUnanswered(core.RunnerOrder{Load: true, Model: "m3", Expected: 3}, time.Now())
+		h.runners["r0"].addUnanswered(core.RunnerOrder{Load: true, Model: "m2", Expected: 3}, time.Now())
+		h.runners["r0"].removeUnanswered(core.RunnerOrder{Load: true, Model: "m2", Expected: 3})
+		fx.restart("r0", time.Now())
+		h.refreshRunners()
+		rs := h.runners["r0"]
+		assert.Equal(t, rs.freeMB(), 140.0)
+		rs.models["m0"], rs.models["m1"], rs.sequence = &placedItem{phase: present}, &placedItem{phase: present}, 2
+		assert.Equal(t, rs.freeMB(), 20.0, "a third model does not fit beside the late one")
+		rs.sequence = 4
+		assert.Equal(t, rs.freeMB(), 80.0)
+		rs.sequence = 2
+		fx.restart("r0", time.Now().Add(time.Millisecond))
+		h.refreshRunners()
+		assert.Equal(t, h.runners["r0"].freeMB(), 140.0, "the reservation survives another restart")
+		time.Sleep(maxOrderDelay)
+		h.refreshRunners()
+		assert.Equal(t, h.runners["r0"].freeMB(), 200.0)
+		fx.holder.wg.Wait()
 	})
 }
 
-// A runner crashes some seconds after it has started again. An order to its former life
-// had not been answered, and later orders were accepted, so that its count had gone by
-// what the order expected, or it was sent again and that copy was accepted. The new life
-// counts from 0 and comes by it again. Of several such orders for one model one can fill
-// the memory.
+// Guards against a crash some seconds after a restart. An order to the former instance had not
+// been answered, and the sequence had since passed the one it expected: either later orders
+// were accepted, or the order was sent again and this second one was accepted. The new instance
+// counts from 0 and reaches the expected sequence again. Of several such orders for one model,
+// only one can occupy memory.
 func TestRoomForALateOrderThatTheFormerLifeHadPassed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newWorld(t, 1, 0, trouble{}, 1)
+		fx := newFixture(t, 1, 0, faults{}, 1)
 		for i := range 4 {
-			w.spec.Models = append(w.spec.Models, core.Model{Name: modelName(i), MemoryMB: 60})
+			fx.spec.Models = append(fx.spec.Models, core.Model{Name: modelName(i), MemoryMB: 60})
 		}
-		w.configure(2)
-		h := w.holder
-		h.refresh()
-		one := h.hosts["r0"]
+		fx.configure(2)
+		h := fx.holder
+		h.refreshRunners()
+		rs := h.runners["r0"]
 		for expected := range uint64(2) {
-			one.sequence = expected
-			one.sentOut(core.RunnerOrder{Load: true, Model: "m3", Expected: expected}, time.Now())
+			rs.sequence = expected
+			rs.addUnanswered(core.RunnerOrder{Load: true, Model: "m3", Expected: expected}, time.Now())
 		}
-		one.sentOut(core.RunnerOrder{Load: true, Model: "m3", Expected: 1}, time.Now())
-		one.answeredFor(core.RunnerOrder{Load: true, Model: "m3", Expected: 1})
-		one.sequence = 7
-		one.sentOut(core.RunnerOrder{Load: true, Model: "m1", Expected: 7}, time.Now())
-		one.answeredFor(core.RunnerOrder{Load: true, Model: "m1", Expected: 7})
-		w.restart("r0", time.Now())
-		h.refresh()
-		one = h.hosts["r0"]
-		assert.Equal(t, one.freeMB(), 140.0, "room for m3, once")
-		one.sequence = 1
-		assert.Equal(t, one.freeMB(), 140.0, "the copy that was not answered")
-		one.sequence = 2
-		assert.Equal(t, one.freeMB(), 200.0, "no order expects this any more")
-		w.holder.wg.Wait()
+		rs.addUnanswered(core.RunnerOrder{Load: true, Model: "m3", Expected: 1}, time.Now())
+		rs.removeUnanswered(core.RunnerOrder{Load: true, Model: "m3", Expected: 1})
+		rs.sequence = 7
+		rs.addUnanswered(core.RunnerOrder{Load: true, Model: "m1", Expected: 7}, time.Now())
+		rs.removeUnanswered(core.RunnerOrder{Load: true, Model: "m1", Expected: 7})
+		fx.restart("r0", time.Now())
+		h.refreshRunners()
+		rs = h.runners["r0"]
+		assert.Equal(t, rs.freeMB(), 140.0, "memory is reserved for m3 only once")
+		rs.sequence = 1
+		assert.Equal(t, rs.freeMB(), 140.0, "the order that was not answered")
+		rs.sequence = 2
+		assert.Equal(t, rs.freeMB(), 200.0, "no order expects this sequence")
+		fx.holder.wg.Wait()
 	})
 }
 
-// Requests for an adapter are refused for seconds after a crash: the holder answers with
-// the runner that had it, whose entry stands. It is loaded on another copy of the model
-// at once. The models stay where they are: a process that ends is back, empty, in less
-// time than they take to load elsewhere, and what they would displace is in use.
+// Guards against refusing requests for an adapter for seconds after a crash, since the holder
+// answered with the exited runner, whose entry was still registered. The adapter must be
+// loaded on another replica of the model immediately. Models are not moved: an exited process
+// is back, empty, in less time than a load elsewhere takes, and the models that it would
+// displace are in use.
 func TestAdaptersOfARunnerThatIsDown(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newPair(t)
-		w.run(1, func() {
+		fx := newPairFixture(t)
+		fx.run(1, func() {
 			time.Sleep(2 * time.Second)
-			first := w.ask("m0", "a1").Runner
+			first := fx.place("m0", "a1").Runner
 			other := map[string]string{"r0": "r1", "r1": "r0"}[first]
-			before := w.engines[other].loadsSoFar()
-			w.holder.loads.Refused(first)
-			time.Sleep(2 * planEvery)
-			assert.Equal(t, w.ask("m0", "a1").Runner, other)
-			assert.Equal(t, w.engines[other].loadsSoFar(), before, "a model was ordered")
+			before := fx.engines[other].acceptedModelOrders()
+			fx.holder.loads.Refused(first)
+			time.Sleep(2 * planInterval)
+			assert.Equal(t, fx.place("m0", "a1").Runner, other)
+			assert.Equal(t, fx.engines[other].acceptedModelOrders(), before, "an order for a model was accepted")
 		})
 	})
 }
 
-// The holder goes on to ask a runner that has ended, and to send it orders, until its
-// entry lapses; each one is a connection to a port where nothing listens.
+// Guards against requesting reports from a runner that has exited, and sending it orders,
+// until its entry expires. Each attempt is a connection to a port on which nothing listens.
 func TestNothingIsSentToARunnerThatHasEnded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newWorld(t, 2, 2, trouble{reportIn: 200 * time.Millisecond}, 1)
-		gone := &goneOrders{orders: w.engines}
-		w.holder.orders = gone
-		w.run(1, func() {
-			time.Sleep(settleFor + 2*time.Second)
+		fx := newFixture(t, 2, 2, faults{reportDelay: 200 * time.Millisecond}, 1)
+		gone := &exitedRunner{fakeRunners: fx.engines}
+		fx.holder.runnerClient = gone
+		fx.run(1, func() {
+			time.Sleep(settleTime + 2*time.Second)
 			gone.runner.Store("r1")
-			w.holder.postSure(func() { w.holder.hosts["r1"].synced = false })
+			fx.holder.postBlocking(func() { fx.holder.runners["r1"].synced = false })
 			time.Sleep(3 * time.Second)
 			assert.Assert(t, gone.count.Load() <= 1, "%d", gone.count.Load())
-			assert.Assert(t, w.holder.loads.Down("r1"))
-			assert.Assert(t, w.engines["r0"].has("m1"), "its model is loaded where there is room")
+			assert.Assert(t, fx.holder.loads.Down("r1"))
+			assert.Assert(t, fx.engines["r0"].hasModel("m1"), "its model has not been loaded on the other runner")
 		})
 	})
 }
 
-// goneOrders are runners of which one may have ended.
-type goneOrders struct {
-	orders
+// exitedRunner wraps fake runners of which one may have exited.
+type exitedRunner struct {
+	fakeRunners
 	runner atomic.Value
-	count  atomic.Int32 // sends to it
+	count  atomic.Int32 // orders and report requests sent to it
 }
 
-func (g *goneOrders) refuse(r *core.Runner) error {
+func (g *exitedRunner) refuseIfExited(r *core.Runner) error {
 	if r.ID != g.runner.Load() {
 		return nil
 	}
@@ -192,32 +193,32 @@
 	return fmt.Errorf("%w: %w", core.ErrNotSent, core.ErrNoListener)
 }
 
-func (g *goneOrders) Order(ctx context.Context, r *core.Runner, o core.RunnerOrder) (core.OrderResult, error) {
-	if err := g.refuse(r); err != nil {
+func (g *exitedRunner) Order(ctx context.Context, r *core.Runner, o core.RunnerOrder) (core.OrderResult, error) {
+	if err := g.refuseIfExited(r); err != nil {
 		return core.OrderUnknown, err
 	}
-	return g.orders.Order(ctx, r, o)
+	return g.fakeRunners.Order(ctx, r, o)
 }
 
-func (g *goneOrders) Report(ctx context.Context, r *core.Runner) (*core.Report, error) {
-	if err := g.refuse(r); err != nil {
+func (g *exitedRunner) Report(ctx context.Context, r *core.Runner) (*core.Report, error) {
+	if err := g.refuseIfExited(r); err != nil {
 		return nil, err
 	}
-	return g.orders.Report(ctx, r)
+	return g.fakeRunners.Report(ctx, r)
 }
 
-// Requests for an adapter are refused while its model's other runners are half idle: the
-// only runner that has the adapter is full. Asked for room, the holder loads it on
-// another one; where there is none with room, it says so at once.
+// Guards against refusing requests for an adapter because the only runner that has it is full,
+// while other runners with its model have free slots. If w.Busy is set, the holder loads the
+// adapter on another runner, or answers immediately if none has a free slot.
 func TestAdapterOfAFullRunner(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newPair(t)
-		w.run(1, func() {
-			time.Sleep(settleFor + 2*time.Second) // adapters have been loaded ahead
-			first := w.ask("m0", "a1").Runner
+		fx := newPairFixture(t)
+		fx.run(1, func() {
+			time.Sleep(settleTime + 2*time.Second) // until adapters have been preloaded
+			first := fx.place("m0", "a1").Runner
 			assert.Assert(t, first != "")
 			other := map[string]string{"r0": "r1", "r1": "r0"}[first]
-			for id, e := range w.engines {
+			for id, e := range fx.engines {
 				e.mu.Lock()
 				delete(e.adapters, "m0/a1")
 				if id == first {
@@ -225,37 +226,37 @@
 				}
 				e.mu.Unlock()
 			}
-			delete(w.holder.hosts[other].adapters, adapterKey{"m0", "a1"})
+			delete(fx.holder.runners[other].adapters, adapterKey{"m0", "a1"})
 			var ends []func()
-			for range w.spec.Slots {
-				ends = append(ends, w.holder.loads.Begin(first))
+			for range fx.spec.Slots {
+				ends = append(ends, fx.holder.loads.Begin(first))
 			}
 			want := dispatch.Want{Service: "s", Model: "m0", Adapter: "a1", Busy: true}
-			ask := func() Placed {
-				ch := make(chan Placed, 1)
-				w.holder.Place(want, func(p Placed) { ch <- p })
+			place := func() PlaceResult {
+				ch := make(chan PlaceResult, 1)
+				fx.holder.Place(want, func(p PlaceResult) { ch <- p })
 				return <-ch
 			}
-			assert.Equal(t, ask().Runner, other)
-			for range w.spec.Slots {
-				w.holder.loads.Begin(other)
+			assert.Equal(t, place().Runner, other)
+			for range fx.spec.Slots {
+				fx.holder.loads.Begin(other)
 			}
 			began := time.Now()
-			assert.Equal(t, ask().Runner, "")
-			assert.Assert(t, time.Since(began) < waitForPlace)
+			assert.Equal(t, place().Runner, "")
+			assert.Assert(t, time.Since(began) < adapterSlotWait)
 			for _, end := range ends {
 				end()
 			}
-			assert.Equal(t, ask().Runner, first, "it has room again")
+			assert.Equal(t, place().Runner, first, "it has free slots again")
 		})
 	})
 }
 
-// newPair is two runners with the same model.
-func newPair(t *testing.T) *world {
+// newPairFixture returns a fixture of two runners with the same model.
+func newPairFixture(t *testing.T) *fixture {
 	t.Helper()
-	w := newWorld(t, 2, 1, trouble{reportIn: 200 * time.Millisecond}, 1)
-	w.engines["r1"].models["m0"] = true
-	w.engines["r1"].note()
-	return w
+	fx := newFixture(t, 2, 1, faults{reportDelay: 200 * time.Millisecond}, 1)
+	fx.engines["r1"].models["m0"] = true
+	fx.engines["r1"].recordState()
+	return fx
 }
--- a/coordination/placement/state.go
+++ b/coordination/placement/state.go
@@ -1,5 +1,5 @@
-// Package placement orders runners to load and unload models and adapters. One
-// daemon does it, the holder of the lease of orders.
+// Package placement sends orders to runners to load and unload models and adapters.
+// Only one daemon does so at a time: the holder of the lease of orders.
 package placement
 
 import (
@@ -11,7 +11,7 @@
 	"primroseward/core"
 )
 
-// phase is where a model or an adapter is on its way.
+// phase is the stage of a model or an adapter on a runner.
 type phase int
 
 const (
@@ -20,92 +20,96 @@
 	unloading
 )
 
-// item is a model or an adapter on a runner.
-type item struct {
-	phase phase
-	used  time.Time // when it was last asked for; of a model, when its load was ordered
-	// accepted: the runner has said that it carries out the load.
+// placedItem is a model or an adapter on a runner.
+type placedItem struct {
+	phase    phase
+	lastUsed time.Time // adapter: when it was last requested; model: when its load was ordered
+	// accepted is set once the runner has accepted the order to load.
 	accepted bool
 }
 
-// adapterKey names an adapter of a model.
+// adapterKey identifies an adapter of a model.
 type adapterKey struct{ model, adapter string }
 
-// host is a runner as the holder knows it: its state at sequence, and what has
-// been ordered since.
-type host struct {
-	runner  core.Runner
-	engine  *core.Engine
-	synced  bool // state and sequence are known
-	asking  bool // a report is on its way
-	retryAt time.Time
-	sending bool // an order is on its way
-	// down: its process has ended, though its entry stands. Its adapters count as gone,
-	// which are loaded elsewhere in 10 ms, and so do its models that no other runner has.
-	down     bool
-	limited  bool // takes fewer requests a second than it is likely to be sent
-	sequence uint64
-	models   map[string]*item
-	adapters map[adapterKey]*item
-	loaded   map[string]time.Time // when loads were done
-	promised string               // model that gets the room of the one being unloaded
-	// unanswered are the orders to this life of the runner that may come late, and
-	// late those to its former lives.
-	unanswered []lateOrder
-	late       []lateOrder
-}
-
-// lateOrder is a load that a runner has not answered. It may be carried out seconds
-// later, as long as the runner's sequence is the one that it expects. A runner that has
-// started again counts its orders from 0, so that one to its former life may be carried
-// out when the count comes by, on top of what the new life has been ordered to load:
-// more than its memory holds, at which it crashes. Room is kept for it until then.
-type lateOrder struct {
+// runnerState is the holder's view of a runner: the state at the runner's sequence and
+// the orders sent since.
+type runnerState struct {
+	runner        core.Runner
+	engine        *core.Engine
+	synced        bool // models, adapters and sequence are those of the runner
+	reportPending bool // a report has been requested and has not arrived
+	reportAfter   time.Time
+	orderPending  bool // an order has been sent and not answered
+	// down is set if the runner's process has exited but its entry is still registered.
+	// Its adapters count as gone, since loading them elsewhere takes 10 ms, and so do its
+	// models that no other runner has.
+	down        bool
+	limited     bool // accepts fewer requests a second than it is likely to be sent
+	sequence    uint64
+	models      map[string]*placedItem
+	adapters    map[adapterKey]*placedItem
+	loadedAt    map[string]time.Time // model to the completion of its last load
+	reservedFor string               // model that gets the memory of the one being unloaded
+	// unanswered are the loads ordered from this instance of the runner that have not been
+	// answered, and formerUnanswered those ordered from its former instances.
+	unanswered       []unansweredLoad
+	formerUnanswered []unansweredLoad
+}
+
+// unansweredLoad is an order to load that a runner has not answered. The runner may carry
+// it out seconds later, as long as its sequence equals expected. A restarted runner counts
+// orders from 0 again, so an order sent to its former instance may be carried out when the
+// new instance reaches that sequence, in addition to the loads ordered from the new
+// instance. That can exceed its memory and crash it, so memory is reserved for the order
+// until it can no longer be carried out.
+type unansweredLoad struct {
 	model, adapter string
 	expected       uint64
-	until          time.Time
+	expiresAt      time.Time
 }
 
-// lateFor is how long an order without an answer may still be carried out: they were
-// seen up to 12 s late.
-const lateFor = 15 * time.Second
+// maxOrderDelay is how long an unanswered order may still be carried out. Delays of up to
+// 12 s have been observed.
+const maxOrderDelay = 15 * time.Second
 
-// mayCome are the orders that may yet be carried out by the next life of the runner.
-func (h *host) mayCome() []lateOrder {
-	return append(slices.Clone(h.late), h.unanswered...)
+// ordersForNextInstance returns the loads that the next instance of the runner may still
+// carry out.
+func (rs *runnerState) ordersForNextInstance() []unansweredLoad {
+	return append(slices.Clone(rs.formerUnanswered), rs.unanswered...)
 }
 
-// lateLoads calls fn once for each model and adapter whose load, ordered of a former
-// life, may still be carried out.
-func (h *host) lateLoads(fn func(lateOrder)) {
+// forEachLateLoad calls fn once for each model and adapter whose load was ordered from a
+// former instance and may still be carried out.
+func (rs *runnerState) forEachLateLoad(fn func(unansweredLoad)) {
 	seen := map[adapterKey]bool{}
-	for _, o := range h.late {
+	for _, o := range rs.formerUnanswered {
 		key := adapterKey{o.model, o.adapter}
-		if h.sequence <= o.expected && !seen[key] {
+		if rs.sequence <= o.expected && !seen[key] {
 			seen[key] = true
 			fn(o)
 		}
 	}
 }
 
-// adaptersTaken is how many places for adapters are taken, or kept for late orders.
-func (h *host) adaptersTaken() int {
-	n := len(h.adapters)
-	h.lateLoads(func(o lateOrder) {
-		if _, ok := h.adapters[adapterKey{o.model, o.adapter}]; !ok && o.adapter != "" {
+// adapterSlotsUsed returns the number of adapter slots that are occupied or reserved for
+// late orders.
+func (rs *runnerState) adapterSlotsUsed() int {
+	n := len(rs.adapters)
+	rs.forEachLateLoad(func(o unansweredLoad) {
+		if _, ok := rs.adapters[adapterKey{o.model, o.adapter}]; !ok && o.adapter != "" {
 			n++
 		}
 	})
 	return n
 }
 
-func newHost(r core.Runner, engine *core.Engine) *host {
-	return &host{runner: r, engine: engine, models: map[string]*item{}, adapters: map[adapterKey]*item{}, loaded: map[string]time.Time{}}
+func newRunnerState(r core.Runner, engine *core.Engine) *runnerState {
+	return &runnerState{runner: r, engine: engine, models: map[string]*placedItem{}, adapters: map[adapterKey]*placedItem{}, loadedAt: map[string]time.Time{}}
 }
 
-// busy says whether an order for a model is in progress.
-func (h *host) busy() bool {
-	for _, m := range h.models {
+// busy reports whether an order for a model is in progress.
+func (rs *runnerState) busy() bool {
+	for _, m := range rs.models {
 		if m.phase != present {
 			return true
 		}
@@ -113,64 +117,63 @@
 	return false
 }
 
-// freeMB is the memory that is neither taken nor promised. What is being
-// unloaded still has its memory.
-func (h *host) freeMB() float64 {
-	free := h.engine.MemoryMB
-	for name := range h.models {
-		if m := h.engine.Model(name); m != nil {
+// freeMB returns the memory that is neither occupied nor reserved. A model that is being
+// unloaded still occupies its memory.
+func (rs *runnerState) freeMB() float64 {
+	free := rs.engine.MemoryMB
+	for name := range rs.models {
+		if m := rs.engine.Model(name); m != nil {
 			free -= m.MemoryMB
 		} else {
-			free = 0 // a model that the config no longer lists: its size is not known
+			free = 0 // the configuration no longer lists this model, so its size is unknown
 		}
 	}
-	for key := range h.adapters {
-		if m := h.engine.Model(key.model); m != nil {
+	for key := range rs.adapters {
+		if m := rs.engine.Model(key.model); m != nil {
 			free -= m.AdapterMB
 		}
 	}
-	h.lateLoads(func(o lateOrder) {
-		if m := h.engine.Model(o.model); m != nil && o.adapter != "" {
+	rs.forEachLateLoad(func(o unansweredLoad) {
+		if m := rs.engine.Model(o.model); m != nil && o.adapter != "" {
 			free -= m.AdapterMB
-		} else if _, ok := h.models[o.model]; m != nil && !ok {
+		} else if _, ok := rs.models[o.model]; m != nil && !ok {
 			free -= m.MemoryMB
 		}
 	})
 	return free
 }
 
-// hasLocal says whether a model loads from a copy that the runner keeps, and so
-// does not count against the weight store's rate. The runner drops copies that
-// it has not used for long, so only its latest description counts, and what has
-// been loaded since.
-func (h *host) hasLocal(model string, now time.Time) bool {
-	return slices.Contains(h.runner.OnDisk, model) || slices.Contains(h.runner.InMemory, model) ||
-		now.Sub(h.loaded[model]) < descriptionLag
+// hasLocalCopy reports whether a model loads from a local copy on the runner and so does
+// not count against the weight store's rate. The runner deletes copies that it has not used
+// for long, so only its latest description and the loads since then count.
+func (rs *runnerState) hasLocalCopy(model string, now time.Time) bool {
+	return slices.Contains(rs.runner.OnDisk, model) || slices.Contains(rs.runner.InMemory, model) ||
+		now.Sub(rs.loadedAt[model]) < descriptionLag
 }
 
-// loadTime is how long a load of a model is said to take here.
-func (h *host) loadTime(model string) time.Duration {
-	spec := h.engine.Model(model)
+// loadTime returns the configured time to load a model on this runner.
+func (rs *runnerState) loadTime(model string) time.Duration {
+	spec := rs.engine.Model(model)
 	switch {
 	case spec == nil:
 		return 0
-	case slices.Contains(h.runner.InMemory, model):
+	case slices.Contains(rs.runner.InMemory, model):
 		return spec.WarmLoad
-	case slices.Contains(h.runner.OnDisk, model):
+	case slices.Contains(rs.runner.OnDisk, model):
 		return spec.DiskLoad
 	default:
 		return spec.Load
 	}
 }
 
-// descriptionLag is how much later than a load a runner's description may tell
-// of the copy that it left.
+// descriptionLag is the longest time from a load until the runner's description lists the
+// local copy that the load left.
 const descriptionLag = 2 * time.Second
 
-// inPhase counts the adapters in a phase.
-func (h *host) inPhase(p phase) int {
+// countInPhase returns the number of adapters in a phase.
+func (rs *runnerState) countInPhase(p phase) int {
 	n := 0
-	for _, a := range h.adapters {
+	for _, a := range rs.adapters {
 		if a.phase == p {
 			n++
 		}
@@ -178,38 +181,38 @@
 	return n
 }
 
-// take sets the state from a report. An order without an answer that it does not
-// show may still be carried out, but only at the report's sequence: the next
-// order that is accepted at it makes that one void.
-func (h *host) take(r *core.Report, now time.Time) {
-	used := h.adapters
-	h.models = map[string]*item{}
-	h.adapters = map[adapterKey]*item{}
+// applyReport replaces the state by that of a report. An unanswered order that the report
+// does not show may still be carried out, but only at the report's sequence. The next order
+// that the runner accepts at this sequence makes the unanswered one void.
+func (rs *runnerState) applyReport(r *core.Report, now time.Time) {
+	previous := rs.adapters
+	rs.models = map[string]*placedItem{}
+	rs.adapters = map[adapterKey]*placedItem{}
 	for _, held := range r.Holdings {
-		h.models[held.Model] = &item{phase: present}
+		rs.models[held.Model] = &placedItem{phase: present}
 		for _, a := range held.Adapters {
-			h.adapters[adapterKey{held.Model, a}] = &item{phase: present, used: lastUse(used, adapterKey{held.Model, a}, now)}
+			rs.adapters[adapterKey{held.Model, a}] = &placedItem{phase: present, lastUsed: lastUse(previous, adapterKey{held.Model, a}, now)}
 		}
 	}
 	for _, c := range r.Coming {
-		if model, adapter, ok := cutAdapter(c); ok {
-			h.adapters[adapterKey{model, adapter}] = &item{phase: loading, used: now}
+		if model, adapter, ok := splitAdapterName(c); ok {
+			rs.adapters[adapterKey{model, adapter}] = &placedItem{phase: loading, lastUsed: now}
 		}
 	}
-	h.runner.OnDisk, h.runner.InMemory = r.OnDisk, r.InMemory
-	h.promised = ""
-	h.sequence = r.Sequence
-	h.synced = true
+	rs.runner.OnDisk, rs.runner.InMemory = r.OnDisk, r.InMemory
+	rs.reservedFor = ""
+	rs.sequence = r.Sequence
+	rs.synced = true
 }
 
-func lastUse(old map[adapterKey]*item, key adapterKey, now time.Time) time.Time {
+func lastUse(old map[adapterKey]*placedItem, key adapterKey, now time.Time) time.Time {
 	if a, ok := old[key]; ok {
-		return a.used
+		return a.lastUsed
 	}
 	return now
 }
 
-func cutAdapter(name string) (model, adapter string, ok bool) {
+func splitAdapterName(name string) (model, adapter string, ok bool) {
 	i := strings.LastIndexByte(name, '/')
 	if i < 0 {
 		return "", "", false
@@ -217,25 +220,25 @@
 	return name[:i], name[i+1:], true
 }
 
-// state is the runner as the policy sees it.
-func (h *host) state(requests int, now time.Time) *policy.HostState {
-	models := make(map[string]bool, len(h.models))
-	for name, m := range h.models {
+// policyState returns the runner's state as input for the policy.
+func (rs *runnerState) policyState(requests int, now time.Time) *policy.HostState {
+	models := make(map[string]bool, len(rs.models))
+	for name, m := range rs.models {
 		if m.phase != unloading {
 			models[name] = true
 		}
 	}
-	if h.promised != "" {
-		models[h.promised] = true
+	if rs.reservedFor != "" {
+		models[rs.reservedFor] = true
 	}
 	local := map[string]bool{}
-	for i := range h.engine.Models {
-		if name := h.engine.Models[i].Name; h.hasLocal(name, now) {
+	for i := range rs.engine.Models {
+		if name := rs.engine.Models[i].Name; rs.hasLocalCopy(name, now) {
 			local[name] = true
 		}
 	}
 	return &policy.HostState{
-		ID: h.runner.ID, Place: h.runner.Place, FreeMB: h.freeMB(), Models: models, Promised: h.promised, Local: local,
-		Busy: !h.synced || h.sending || h.busy(), Leaving: h.runner.Draining, Down: h.down, Limited: h.limited, Requests: requests,
+		ID: rs.runner.ID, Place: rs.runner.Place, FreeMB: rs.freeMB(), Models: models, Promised: rs.reservedFor, Local: local,
+		Busy: !rs.synced || rs.orderPending || rs.busy(), Leaving: rs.runner.Draining, Down: rs.down, Limited: rs.limited, Requests: requests,
 	}
 }
