--- a/coordination/planner/plan.go
+++ b/coordination/planner/plan.go
@@ -8,94 +8,99 @@
 	"primroseward/state/ledger"
 )
 
-// Policy is the planner's parameters. The zero value of a switch is the chosen
-// policy; the others exist to measure what each part brings.
+// Policy holds the planner's parameters. With all switches off it is the policy in use; the
+// switches exist to measure the effect of each part.
 type Policy struct {
-	High     float64 // load above which a model wants another replica
-	Low      float64 // load below which a model's replica may make room
-	Horizon  float64 // seconds that a change of demand is expected to last
-	MoveCost float64 // requests that a move must win, times the price of moves
-	Share    float64 // of runners that may be changing at once
+	HighLoad         float64 // load above which a model gets another replica
+	LowLoad          float64 // load up to which a replica of a model may be evicted for another model
+	Horizon          float64 // seconds that a change of demand is expected to last
+	MoveCost         float64 // expected gain in requests that justifies a move, per unit of MovePrice
+	MaxChangingShare float64 // share of the runners that may be changing at the same time
 
-	NoSecond bool // no second replica in another place
-	NoDemand bool // no replica for demand
-	NoSlow   bool // the fast average alone decides what may make room
+	NoSecond bool // no second replica in another data centre
+	NoDemand bool // no further replicas for demand
+	NoSlow   bool // which replicas may be evicted depends on the fast average only
 	NoCost   bool // moves cost nothing
-	NoSpread bool // replicas go to the runner with most memory, not least load
+	NoSpread bool // replicas go to the runner with most free memory, not least load
 }
 
-// Default is the chosen policy.
+// Default returns the policy in use.
 func Default() Policy {
-	return Policy{High: 0.7, Low: 0.4, Horizon: 120, MoveCost: 100, Share: 0.34}
+	return Policy{HighLoad: 0.7, LowLoad: 0.4, Horizon: 120, MoveCost: 100, MaxChangingShare: 0.34}
 }
 
-// Plan returns the moves to make now, most urgent first, and which models
-// cannot be placed and why.
+// Plan returns the moves to make now, most urgent first, and which models cannot be placed
+// and why.
 func (p Policy) Plan(s *State) ([]Move, []string) {
 	v := newView(s)
-	p.floors(v)
-	p.retire(v)
+	p.addFloors(v)
+	p.evictUnwanted(v)
 	if s.Pause {
-		return v.moves, v.lacking
+		return v.moves, v.unplaceable
 	}
-	p.versions(v)
+	p.replaceVersions(v)
 	if !p.NoSecond {
-		p.seconds(v)
+		p.addSecondReplicas(v)
 	}
 	if !p.NoDemand {
-		p.demand(v)
+		p.addDemandReplicas(v)
 	}
-	return v.moves, v.lacking
+	return v.moves, v.unplaceable
 }
 
-// spareForDemand is how many ready replicas a model must have to lose one for
-// another model's demand: two are kept, so that no single death makes a model
-// unreachable. Only a model without any replica may take a second one's place.
-const spareForDemand = 3
+// minReplicasForDemand is how many ready replicas a model must have for one of them to be
+// evicted for another model's demand. Two remain, so that the loss of one runner makes no
+// model unreachable. Only for a model without any replica may another model's second replica
+// be evicted.
+const minReplicasForDemand = 3
 
-// floors gives each model without a replica the next load, always.
-func (p Policy) floors(v *view) {
+// addFloors loads each model that has no replica. It runs before all other moves, also while the
+// settings allow only repairs.
+func (p Policy) addFloors(v *view) {
 	for _, name := range v.names {
 		m := v.models[name]
-		if m.ready+m.coming > 0 {
+		if m.ready+m.loading > 0 {
 			continue
 		}
-		if why := p.place(v, m, ReasonFloor); why != "" {
-			v.lacking = append(v.lacking, fmt.Sprintf("model %s: %s", name, why))
+		if why := p.placeModel(v, m, ReasonFloor); why != "" {
+			v.unplaceable = append(v.unplaceable, fmt.Sprintf("model %s: %s", name, why))
 		}
 	}
 }
 
-// place loads a model where it fits, or makes room for it. It says why neither
-// can be done; a load that only waits for the store is no reason.
-func (p Policy) place(v *view, m *model, reason string) string {
-	hosts := p.hosts(v, m)
-	if len(hosts) == 0 {
-		return p.whyNowhere(m)
+// placeModel loads a model on a runner with enough free memory, or else evicts replicas to free
+// memory for it. It returns the reason if neither is possible. Waiting for a free load slot of
+// the weight store does not count as a reason.
+func (p Policy) placeModel(v *view, m *model, reason string) string {
+	candidates := p.candidates(v, m)
+	if len(candidates) == 0 {
+		return p.whyNoCandidate(m)
 	}
 	if v.loads >= v.Slots {
 		return ""
 	}
-	for _, r := range hosts {
-		if r.free >= m.Bytes {
-			v.load(r, m, reason)
+	for _, r := range candidates {
+		if r.freeBytes >= m.Bytes {
+			v.planLoad(r, m, reason)
 			return ""
 		}
 	}
-	for _, r := range hosts {
-		if p.makeRoom(v, r, m, 2) {
+	for _, r := range candidates {
+		if p.freeMemory(v, r, m, 2) {
 			return ""
 		}
 	}
-	if room := roomComing(hosts, m); room {
+	if pending := memoryPending(candidates, m); pending {
 		return ""
 	}
-	return fmt.Sprintf("no runner has %d bytes free or to be freed", m.Bytes)
+	return fmt.Sprintf("no runner has %d bytes free or can free them", m.Bytes)
 }
 
-func roomComing(hosts []*runner, m *model) bool {
-	for _, r := range hosts {
-		free := r.free
+// memoryPending reports whether a candidate will have enough memory for a model once its
+// evictions in progress have finished.
+func memoryPending(candidates []*runner, m *model) bool {
+	for _, r := range candidates {
+		free := r.freeBytes
 		for _, e := range r.Entries {
 			if e.State == ledger.Evicting || e.State == ledger.Quarantine {
 				free += e.Bytes
@@ -108,21 +113,21 @@
 	return false
 }
 
-func (p Policy) whyNowhere(m *model) string {
+func (p Policy) whyNoCandidate(m *model) string {
 	if m.Base != "" {
 		return "its base model is not ready on any runner that may serve it"
 	}
 	if len(m.Places) == 0 {
-		return "its settings allow no place"
+		return "its settings allow no data centre"
 	}
-	return "no runner is in its allowed places"
+	return "no runner is in its allowed data centres"
 }
 
-// hosts returns the runners that may take a model, best first.
-func (p Policy) hosts(v *view, m *model) []*runner {
+// candidates returns the runners on which a model may be loaded, best first.
+func (p Policy) candidates(v *view, m *model) []*runner {
 	var out []*runner
 	for _, r := range v.runners {
-		if r.Gone || !m.Places[r.Place] || m.on(r) || r.Capacity < m.Bytes {
+		if r.Gone || !m.Places[r.Place] || m.placedOn(r) || r.Capacity < m.Bytes {
 			continue
 		}
 		if m.Base != "" && (v.models[m.Base] == nil || !v.models[m.Base].readyOn(r)) {
@@ -132,31 +137,31 @@
 	}
 	sort.SliceStable(out, func(i, j int) bool {
 		a, b := out[i], out[j]
-		if p.NoSpread || near(a.load, b.load) {
-			return a.free > b.free
+		if p.NoSpread || similarLoad(a.load, b.load) {
+			return a.freeBytes > b.freeBytes
 		}
 		return a.load < b.load
 	})
 	return out
 }
 
-func near(a, b float64) bool {
+func similarLoad(a, b float64) bool {
 	d := a - b
 	return d < 0.1 && d > -0.1
 }
 
-func (v *view) load(r *runner, m *model, reason string) {
+func (v *view) planLoad(r *runner, m *model, reason string) {
 	v.moves = append(v.moves, Move{Kind: core.OrderLoad, Runner: r.ID, Model: m.Name, Version: m.Version, Reason: reason})
-	r.free -= m.Bytes
-	r.busy++
+	r.freeBytes -= m.Bytes
+	r.changing++
 	v.loads++
-	m.coming++
+	m.loading++
 	m.replicas = append(m.replicas, replica{r, ledger.Entry{Model: m.Name, Version: m.Version, Bytes: m.Bytes, State: ledger.Loading}})
 }
 
-func (v *view) evict(r *runner, m *model, version, reason string) {
+func (v *view) planEvict(r *runner, m *model, version, reason string) {
 	v.moves = append(v.moves, Move{Kind: core.OrderEvict, Runner: r.ID, Model: m.Name, Version: version, Reason: reason})
-	r.busy++
+	r.changing++
 	for i := range m.replicas {
 		rep := &m.replicas[i]
 		if rep.runner == r && rep.entry.Version == version && rep.entry.State == ledger.Ready {
@@ -166,10 +171,10 @@
 	}
 }
 
-// retire evicts what the settings no longer want: models that are gone from
-// the tree, and replicas in places that are no longer allowed, once the model
-// is ready where it is allowed.
-func (p Policy) retire(v *view) {
+// evictUnwanted evicts replicas that the settings no longer include: those of models removed
+// from the settings tree, and those in data centres that are no longer allowed, once the model
+// is ready in an allowed one.
+func (p Policy) evictUnwanted(v *view) {
 	for _, r := range v.runners {
 		for _, e := range r.Entries {
 			if e.State != ledger.Ready || r.Gone || v.hasAdapters(r, e.Model) {
@@ -178,17 +183,17 @@
 			m := v.models[e.Model]
 			switch {
 			case m == nil:
-				v.evict(r, &model{Model: &Model{Name: e.Model}}, e.Version, ReasonPlace)
+				v.planEvict(r, &model{Model: &Model{Name: e.Model}}, e.Version, ReasonNotAllowed)
 			case !m.Places[r.Place] && m.ready > 0:
-				v.evict(r, m, e.Version, ReasonPlace)
+				v.planEvict(r, m, e.Version, ReasonNotAllowed)
 			}
 		}
 	}
 }
 
-// versions replaces replicas of another version: the new one is loaded first,
-// on the same runner where it fits, and the old one goes when the new is ready.
-func (p Policy) versions(v *view) {
+// replaceVersions replaces replicas of other versions. The current version is loaded first, on
+// the same runner if it fits there, and the old replicas are evicted once it is ready.
+func (p Policy) replaceVersions(v *view) {
 	for _, name := range v.names {
 		m := v.models[name]
 		old, current := m.byVersion()
@@ -196,21 +201,21 @@
 			continue
 		}
 		if len(current) > 0 {
-			p.dropOld(v, m, old, current)
+			p.evictOldVersions(v, m, old, current)
 			continue
 		}
-		if v.loads >= v.Slots || m.coming > 0 {
+		if v.loads >= v.Slots || m.loading > 0 {
 			continue
 		}
-		if r := old[0].runner; r.free >= m.Bytes {
-			v.load(r, m, ReasonVersion)
+		if r := old[0].runner; r.freeBytes >= m.Bytes {
+			v.planLoad(r, m, ReasonVersion)
 			continue
 		}
-		p.place(v, m, ReasonVersion)
+		p.placeModel(v, m, ReasonVersion)
 	}
 }
 
-// byVersion parts a model's ready replicas into outdated and current ones.
+// byVersion splits a model's ready replicas into those of other versions and of the current one.
 func (m *model) byVersion() (old, current []replica) {
 	for _, rep := range m.replicas {
 		switch {
@@ -224,14 +229,15 @@
 	return old, current
 }
 
-func (p Policy) dropOld(v *view, m *model, old, current []replica) {
+func (p Policy) evictOldVersions(v *view, m *model, old, current []replica) {
 	for _, rep := range old {
 		if !v.hasAdapters(rep.runner, m.Name) || m.currentOn(rep.runner, current) {
-			v.evict(rep.runner, m, rep.entry.Version, ReasonVersion)
+			v.planEvict(rep.runner, m, rep.entry.Version, ReasonVersion)
 		}
 	}
 }
 
+// currentOn reports whether one of the current replicas is on a runner.
 func (m *model) currentOn(r *runner, current []replica) bool {
 	for _, rep := range current {
 		if rep.runner == r {
@@ -241,94 +247,95 @@
 	return false
 }
 
-// demand adds replicas of models whose runners are too busy, the largest
-// expected win per byte first.
-func (p Policy) demand(v *view) {
-	type wish struct {
-		m   *model
-		win float64
+// addDemandReplicas adds replicas of models whose runners are overloaded, the largest expected
+// gain per byte first.
+func (p Policy) addDemandReplicas(v *view) {
+	type demandGain struct {
+		m    *model
+		gain float64
 	}
-	var wishes []wish
+	var gains []demandGain
 	for _, name := range v.names {
 		m := v.models[name]
-		if m.ready == 0 || m.coming > 0 || m.pressure() < p.High {
+		if m.ready == 0 || m.loading > 0 || m.lowestLoad() < p.HighLoad {
 			continue
 		}
-		win := p.win(m)
-		if !p.NoCost && win < p.MoveCost*m.Moves {
+		gain := p.gain(m)
+		if !p.NoCost && gain < p.MoveCost*m.MovePrice {
 			continue
 		}
-		wishes = append(wishes, wish{m, win / float64(max(1, m.Bytes))})
+		gains = append(gains, demandGain{m, gain / float64(max(1, m.Bytes))})
 	}
-	sort.SliceStable(wishes, func(i, j int) bool { return wishes[i].win > wishes[j].win })
-	for _, w := range wishes {
+	sort.SliceStable(gains, func(i, j int) bool { return gains[i].gain > gains[j].gain })
+	for _, g := range gains {
 		if v.loads >= v.Slots {
 			return
 		}
-		p.relieve(v, w.m)
+		p.addDemandReplica(v, g.m)
 	}
 }
 
-// win is the number of requests that another replica is expected to bring to
-// their target while the demand lasts, times their weight.
-func (p Policy) win(m *model) float64 {
-	over := 1 - p.High/max(p.High, m.pressure())
-	return m.Fast * over * p.Horizon * m.Attainment
+// gain returns the number of additional requests that are expected to meet their target latency
+// with another replica while the demand lasts, times their weight.
+func (p Policy) gain(m *model) float64 {
+	over := 1 - p.HighLoad/max(p.HighLoad, m.lowestLoad())
+	return m.Fast * over * p.Horizon * m.AttainmentWeight
 }
 
-// relieve places one more replica on a runner with clearly less load.
-func (p Policy) relieve(v *view, m *model) {
-	for _, r := range p.hosts(v, m) {
-		if r.load > m.pressure()*p.High {
+// addDemandReplica adds a replica on a runner whose load is clearly lower.
+func (p Policy) addDemandReplica(v *view, m *model) {
+	for _, r := range p.candidates(v, m) {
+		if r.load > m.lowestLoad()*p.HighLoad {
 			continue
 		}
-		if r.free >= m.Bytes {
-			v.load(r, m, ReasonDemand)
+		if r.freeBytes >= m.Bytes {
+			v.planLoad(r, m, ReasonDemand)
 			return
 		}
 	}
-	for _, r := range p.hosts(v, m) {
-		if r.load <= m.pressure()*p.High && p.makeRoom(v, r, m, spareForDemand) {
+	for _, r := range p.candidates(v, m) {
+		if r.load <= m.lowestLoad()*p.HighLoad && p.freeMemory(v, r, m, minReplicasForDemand) {
 			return
 		}
 	}
 }
 
-// seconds gives models a second replica in another place, so that the loss of
-// a runner or a place leaves one. It takes memory that a third replica of
-// another model holds, and half of the store's slots at most: the other half
-// is left to demand.
-func (p Policy) seconds(v *view) {
+// addSecondReplicas adds a second replica in another data centre to models that have only one,
+// so that one is left after the loss of a runner or a data centre. It evicts only replicas of
+// models that have at least three, and uses at most half of the weight store's load slots; the
+// other half is left for demand.
+func (p Policy) addSecondReplicas(v *view) {
 	for _, name := range v.names {
 		m := v.models[name]
 		if v.loads >= max(1, v.Slots/2) {
 			return
 		}
-		if m.ready == 1 && m.coming == 0 {
-			p.second(v, m)
+		if m.ready == 1 && m.loading == 0 {
+			p.addSecondReplica(v, m)
 		}
 	}
 }
 
-func (p Policy) second(v *view, m *model) {
-	home := m.home()
+// addSecondReplica adds a replica of a model in another data centre than its first one.
+func (p Policy) addSecondReplica(v *view, m *model) {
+	firstDataCentre := m.firstDataCentre()
 	var others []*runner
-	for _, r := range p.hosts(v, m) {
-		if r.Place != home {
+	for _, r := range p.candidates(v, m) {
+		if r.Place != firstDataCentre {
 			others = append(others, r)
 		}
 	}
 	for _, r := range others {
-		if r.free >= m.Bytes {
-			v.load(r, m, ReasonSecond)
+		if r.freeBytes >= m.Bytes {
+			v.planLoad(r, m, ReasonSecondReplica)
 			return
 		}
 	}
-	if roomComing(others, m) {
+	if memoryPending(others, m) {
 		return
 	}
 	for _, r := range others {
-		if p.makeRoom(v, r, m, spareForDemand) {
+		if p.freeMemory(v, r, m, minReplicasForDemand) {
 			return
 		}
 	}
--- a/coordination/planner/plan_test.go
+++ b/coordination/planner/plan_test.go
@@ -19,43 +19,43 @@
 	return ledger.Entry{Model: model, Version: version, Bytes: bytes, State: state}
 }
 
-func anywhere() map[string]bool { return map[string]bool{"a": true, "b": true} }
+func allDataCentres() map[string]bool { return map[string]bool{"a": true, "b": true} }
 
 func TestPlan(t *testing.T) {
 	cases := []struct {
-		name    string
-		state   State
-		moves   []Move
-		lacking int
+		name        string
+		state       State
+		moves       []Move
+		unplaceable int
 	}{
 		{
 			name: "a model without a replica is loaded where memory is free",
 			state: State{
-				Models:  []Model{{Name: "m", Version: "1", Bytes: 10, Places: anywhere()}},
+				Models:  []Model{{Name: "m", Version: "1", Bytes: 10, Places: allDataCentres()}},
 				Runners: []Runner{{ID: "r1", Place: "a", Capacity: 5}, {ID: "r2", Place: "b", Capacity: 20}},
 			},
 			moves: []Move{{core.OrderLoad, "r2", "m", "1", ReasonFloor}},
 		},
 		{
-			name: "a model that fits nowhere is named",
+			name: "a model that fits on no runner is reported",
 			state: State{
-				Models:  []Model{{Name: "m", Version: "1", Bytes: 30, Places: anywhere()}},
+				Models:  []Model{{Name: "m", Version: "1", Bytes: 30, Places: allDataCentres()}},
 				Runners: []Runner{{ID: "r1", Place: "a", Capacity: 5}},
 			},
-			lacking: 1,
+			unplaceable: 1,
 		},
 		{
-			name: "the new version comes before the old one goes",
+			name: "the new version is loaded before the old one is evicted",
 			state: State{
-				Models:  []Model{{Name: "m", Version: "2", Bytes: 10, Places: anywhere()}},
+				Models:  []Model{{Name: "m", Version: "2", Bytes: 10, Places: allDataCentres()}},
 				Runners: []Runner{{ID: "r1", Place: "a", Capacity: 25, Entries: []ledger.Entry{entry("m", "1", 10, ledger.Ready)}}},
 			},
 			moves: []Move{{core.OrderLoad, "r1", "m", "2", ReasonVersion}},
 		},
 		{
-			name: "the old version goes when the new one is ready",
+			name: "the old version is evicted once the new one is ready",
 			state: State{
-				Models: []Model{{Name: "m", Version: "2", Bytes: 10, Places: anywhere()}},
+				Models: []Model{{Name: "m", Version: "2", Bytes: 10, Places: allDataCentres()}},
 				Runners: []Runner{{ID: "r1", Place: "a", Capacity: 25, Entries: []ledger.Entry{
 					entry("m", "1", 10, ledger.Ready), entry("m", "2", 10, ledger.Ready),
 				}}},
@@ -63,7 +63,7 @@
 			moves: []Move{{core.OrderEvict, "r1", "m", "1", ReasonVersion}},
 		},
 		{
-			name: "a replica where the settings no longer allow it stays until another is ready",
+			name: "a replica in a data centre that is no longer allowed stays until another is ready",
 			state: State{
 				Models: []Model{{Name: "m", Version: "1", Bytes: 10, Places: map[string]bool{"b": true}}},
 				Runners: []Runner{
@@ -76,7 +76,7 @@
 		{
 			name: "the models of a leaving runner are loaded elsewhere",
 			state: State{
-				Models: []Model{{Name: "m", Version: "1", Bytes: 10, Places: anywhere()}},
+				Models: []Model{{Name: "m", Version: "1", Bytes: 10, Places: allDataCentres()}},
 				Runners: []Runner{
 					{ID: "r1", Place: "a", Capacity: 25, Gone: true, Entries: []ledger.Entry{entry("m", "1", 10, ledger.Ready)}},
 					{ID: "r2", Place: "b", Capacity: 25},
@@ -85,40 +85,39 @@
 			moves: []Move{{core.OrderLoad, "r2", "m", "1", ReasonFloor}},
 		},
 		{
-			name: "a floor takes the room of a spare replica",
+			name: "a spare replica is evicted for a model without a replica",
 			state: State{
-				Models: []Model{{Name: "m", Version: "1", Bytes: 10, Places: anywhere()}, {Name: "n", Version: "1", Bytes: 10, Places: anywhere()}},
+				Models: []Model{{Name: "m", Version: "1", Bytes: 10, Places: allDataCentres()}, {Name: "n", Version: "1", Bytes: 10, Places: allDataCentres()}},
 				Runners: []Runner{
 					{ID: "r1", Place: "a", Capacity: 10, Entries: []ledger.Entry{entry("n", "1", 10, ledger.Ready)}},
 					{ID: "r2", Place: "b", Capacity: 10, Entries: []ledger.Entry{entry("n", "1", 10, ledger.Ready)}},
 				},
 			},
-			moves: []Move{{core.OrderEvict, "r1", "n", "1", ReasonRoom}},
+			moves: []Move{{core.OrderEvict, "r1", "n", "1", ReasonMemory}},
 		},
 		{
-			name: "an adapter waits for its base",
+			name: "an adapter is loaded only where its base model is ready",
 			state: State{
-				Models: []Model{{Name: "m", Version: "1", Bytes: 10, Places: anywhere()}, {Name: "x", Version: "1", Bytes: 1, Base: "m", Places: anywhere()}},
+				Models: []Model{{Name: "m", Version: "1", Bytes: 10, Places: allDataCentres()}, {Name: "x", Version: "1", Bytes: 1, Base: "m", Places: allDataCentres()}},
 				Runners: []Runner{
 					{ID: "r1", Place: "a", Capacity: 25},
 					{ID: "r2", Place: "b", Capacity: 25, Entries: []ledger.Entry{entry("m", "1", 10, ledger.Ready)}},
 				},
 			},
-			moves: []Move{{core.OrderLoad, "r2", "x", "1", ReasonFloor}, {core.OrderLoad, "r1", "m", "1", ReasonSecond}},
+			moves: []Move{{core.OrderLoad, "r2", "x", "1", ReasonFloor}, {core.OrderLoad, "r1", "m", "1", ReasonSecondReplica}},
 		},
 	}
-	for _, one := range cases {
-		one.state.Slots = 4
-		moves, lacking := Default().Plan(&one.state)
-		assert.DeepEqual(t, moves, one.moves)
-		assert.Equal(t, len(lacking), one.lacking, one.name)
+	for _, tt := range cases {
+		tt.state.Slots = 4
+		moves, unplaceable := Default().Plan(&tt.state)
+		assert.DeepEqual(t, moves, tt.moves)
+		assert.Equal(t, len(unplaceable), tt.unplaceable, tt.name)
 	}
 }
 
-// A model vanishes because the planner itself evicts its last replica, or a
-// runner is overfilled by its plan. For any state, the moves of one plan load
-// only what fits beside all that is held, and leave every model that had a
-// ready replica with one.
+// Guards against plans that evict the last replica of a model or exceed a runner's memory. For
+// any state, the loads of one plan fit beside all entries of their runner, and every model that
+// had a ready replica keeps one.
 func TestPlanKeepsModelsAndMemory(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := drawState(t)
@@ -166,7 +165,7 @@
 	for i := range rapid.IntRange(1, 6).Draw(t, "models") {
 		s.Models = append(s.Models, Model{
 			Name: fmt.Sprint("m", i), Version: rapid.SampledFrom([]string{"1", "2"}).Draw(t, "version"), Bytes: int64(rapid.IntRange(5, 30).Draw(t, "bytes")),
-			Places: anywhere(), Fast: rapid.Float64Range(0, 50).Draw(t, "fast"), Slow: rapid.Float64Range(0, 50).Draw(t, "slow"), Moves: 0.01, Attainment: 1,
+			Places: allDataCentres(), Fast: rapid.Float64Range(0, 50).Draw(t, "fast"), Slow: rapid.Float64Range(0, 50).Draw(t, "slow"), MovePrice: 0.01, AttainmentWeight: 1,
 		})
 	}
 	for i := range rapid.IntRange(1, 5).Draw(t, "runners") {
@@ -184,11 +183,12 @@
 	return s
 }
 
-// fleet is a made-up place of the size to come.
-func fleet(models, runners int) *State {
+// syntheticState returns a State of the given size. Its largest sizes are those expected of
+// future fleets.
+func syntheticState(models, runners int) *State {
 	s := &State{Slots: 4}
 	for i := range models {
-		s.Models = append(s.Models, Model{Name: fmt.Sprint("m", i), Version: "1", Bytes: 10, Places: anywhere(), Fast: float64(i%7) / 3, Slow: 1, Moves: 1, Attainment: 1})
+		s.Models = append(s.Models, Model{Name: fmt.Sprint("m", i), Version: "1", Bytes: 10, Places: allDataCentres(), Fast: float64(i%7) / 3, Slow: 1, MovePrice: 1, AttainmentWeight: 1})
 	}
 	for i := range runners {
 		r := Runner{ID: fmt.Sprint("r", i), Place: []string{"a", "b"}[i%2], Capacity: 64, Slots: 16, Cost: time.Second}
@@ -202,7 +202,7 @@
 
 func BenchmarkPlan(b *testing.B) {
 	for _, size := range []struct{ models, runners int }{{15, 16}, {150, 160}, {1800, 526}, {1800, 2000}, {1800, 10000}} {
-		s := fleet(size.models, size.runners)
+		s := syntheticState(size.models, size.runners)
 		b.Run(fmt.Sprintf("models=%d,runners=%d", size.models, size.runners), func(b *testing.B) {
 			b.ReportAllocs()
 			for b.Loop() {
--- a/coordination/planner/role.go
+++ b/coordination/planner/role.go
@@ -18,41 +18,40 @@
 )
 
 const (
-	planEvery   = time.Second
-	viewTimeout = time.Second
-	moveTimeout = 5 * time.Second
-	// graceFor is how long a runner that nobody reports is left alone. Its
-	// owner may have died a moment ago, and the runner with all its models be
-	// well.
-	graceFor = 10 * time.Second
+	planInterval = time.Second
+	viewTimeout  = time.Second
+	moveTimeout  = 5 * time.Second
+	// ownerGrace is how long a runner that no daemon reports is not treated as lost. Its
+	// owner may have exited a moment ago while the runner and all its models are fine.
+	ownerGrace = 10 * time.Second
 )
 
-// Role runs the planner in the daemon that the members rank first for it. Two
-// daemons that both believe so ask for moves twice; the runners' records let
-// each through once.
+// Role runs the planner in the daemon that the members rank first for it. If two daemons both
+// consider themselves the first, they request moves twice, and the runners' records let each
+// move through once.
 type Role struct {
-	policy  Policy
-	replica *tree.Replica
-	members core.Members
-	dial    peer.Dial
-	clock   core.Clock
-	log     *zap.Logger
+	policy   Policy
+	settings *tree.Replica
+	members  core.Members
+	dial     peer.Dial
+	clock    core.Clock
+	log      *zap.Logger
 
-	seen map[string]time.Time // runner to its latest report
-	wg   sync.WaitGroup
-	stop context.CancelFunc
+	lastReported map[string]time.Time // runner to its latest report
+	wg           sync.WaitGroup
+	stop         context.CancelFunc
 
-	mu      sync.Mutex // guards what follows
-	active  bool
-	lacking []string
+	mu          sync.Mutex // guards the fields below
+	active      bool
+	unplaceable []string
 }
 
-// NewRole makes a Role.
-func NewRole(policy Policy, replica *tree.Replica, members core.Members, dial peer.Dial, clock core.Clock, log *zap.Logger) *Role {
-	return &Role{policy: policy, replica: replica, members: members, dial: dial, clock: clock, log: log, seen: map[string]time.Time{}}
+// NewRole returns a Role.
+func NewRole(policy Policy, settings *tree.Replica, members core.Members, dial peer.Dial, clock core.Clock, log *zap.Logger) *Role {
+	return &Role{policy: policy, settings: settings, members: members, dial: dial, clock: clock, log: log, lastReported: map[string]time.Time{}}
 }
 
-// Start begins to plan when it is this daemon's turn.
+// Start starts a loop that plans whenever this daemon ranks first.
 func (r *Role) Start() {
 	ctx, cancel := context.WithCancel(context.Background())
 	r.stop = cancel
@@ -60,24 +59,24 @@
 	go r.loop(ctx)
 }
 
-// Stop ends it.
+// Stop stops the loop and waits for it.
 func (r *Role) Stop() {
 	r.stop()
 	r.wg.Wait()
 }
 
-// Active says whether this daemon plans now.
+// Active reports whether this daemon is currently the planner.
 func (r *Role) Active() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.active
 }
 
-// Lacking returns which models cannot be placed and why, as this daemon found.
+// Lacking returns the models that this daemon could not place, with the reasons.
 func (r *Role) Lacking() []string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.lacking
+	return r.unplaceable
 }
 
 func (r *Role) loop(ctx context.Context) {
@@ -86,48 +85,48 @@
 		select {
 		case <-ctx.Done():
 			return
-		case <-r.clock.After(planEvery):
+		case <-r.clock.After(planInterval):
 		}
 		first := r.members.Rank("planner", "", 1)
-		mine := len(first) == 1 && first[0].Name == r.members.Self().Name
+		isPlanner := len(first) == 1 && first[0].Name == r.members.Self().Name
 		r.mu.Lock()
-		if mine && !r.active {
-			r.seen = map[string]time.Time{}
+		if isPlanner && !r.active {
+			r.lastReported = map[string]time.Time{}
 		}
-		if !mine {
-			r.lacking = nil
+		if !isPlanner {
+			r.unplaceable = nil
 		}
-		r.active = mine
+		r.active = isPlanner
 		r.mu.Unlock()
-		if mine && r.replica.Tree() != nil {
+		if isPlanner && r.settings.Tree() != nil {
 			r.plan(ctx)
 		}
 	}
 }
 
 func (r *Role) plan(ctx context.Context) {
-	views := r.collect(ctx)
-	s, whole := r.state(views)
-	if !whole {
+	views := r.collectViews(ctx)
+	s, complete := r.buildState(views)
+	if !complete {
 		return
 	}
-	moves, lacking := r.policy.Plan(s)
+	moves, unplaceable := r.policy.Plan(s)
 	r.mu.Lock()
-	r.lacking = lacking
+	r.unplaceable = unplaceable
 	r.mu.Unlock()
 	var wg sync.WaitGroup
 	for _, m := range moves {
 		wg.Add(1)
 		go func() {
 			defer wg.Done()
-			r.ask(ctx, m)
+			r.requestMove(ctx, m)
 		}()
 	}
 	wg.Wait()
 }
 
-// collect asks all daemons for the runners that they own.
-func (r *Role) collect(ctx context.Context) []*peerv1.Views {
+// collectViews requests the state of their runners from all daemons.
+func (r *Role) collectViews(ctx context.Context) []*peerv1.Views {
 	var mu sync.Mutex
 	var wg sync.WaitGroup
 	var out []*peerv1.Views
@@ -150,10 +149,10 @@
 	return out
 }
 
-// state joins the views. whole is false while a runner of the settings is
-// unknown and may only be between two owners.
-func (r *Role) state(views []*peerv1.Views) (s *State, whole bool) {
-	t := r.replica.Tree()
+// buildState merges the views. complete is false while the state of a runner in the settings
+// is unknown, for example while it changes from one owner to another.
+func (r *Role) buildState(views []*peerv1.Views) (s *State, complete bool) {
+	t := r.settings.Tree()
 	now := r.clock.Now()
 	s = &State{Now: now, Slots: t.Store().Slots, Pause: t.Store().Pause}
 	rates := map[string]*peerv1.Demand{}
@@ -166,43 +165,45 @@
 			rates[d.Model].Fast += d.Fast
 			rates[d.Model].Slow += d.Slow
 		}
-		for _, one := range v.Views {
-			if have := found[one.Runner]; have == nil || have.Unreachable || !have.Known {
-				found[one.Runner] = one
+		for _, view := range v.Views {
+			if known := found[view.Runner]; known == nil || known.Unreachable || !known.Known {
+				found[view.Runner] = view
 			}
 		}
 	}
-	whole = r.runners(s, t, found)
+	complete = r.addRunners(s, t, found)
 	for _, name := range t.Models() {
 		s.Models = append(s.Models, ModelOf(t, name, rates[name].GetFast(), rates[name].GetSlow()))
 	}
-	return s, whole
+	return s, complete
 }
 
-func (r *Role) runners(s *State, t *tree.Tree, found map[string]*peerv1.View) bool {
-	whole := true
+// addRunners adds the runners of the settings to the state, and reports whether the state of
+// each is known.
+func (r *Role) addRunners(s *State, t *tree.Tree, found map[string]*peerv1.View) bool {
+	complete := true
 	for id, spec := range t.Endpoints() {
 		if spec.Kind != tree.KindModel {
 			continue
 		}
 		v := found[id]
 		if v != nil && !v.Unreachable {
-			r.seen[id] = s.Now
+			r.lastReported[id] = s.Now
 		}
-		if r.seen[id].IsZero() {
-			r.seen[id] = s.Now
+		if r.lastReported[id].IsZero() {
+			r.lastReported[id] = s.Now
 		}
-		lost := s.Now.Sub(r.seen[id]) > graceFor
-		// An owner that has not read the record yet, as after an outage, says
-		// nothing of what the runner holds; taking that for "nothing" would load
-		// all its models elsewhere.
+		lost := s.Now.Sub(r.lastReported[id]) > ownerGrace
+		// An owner that has not read the runner's record yet, for example after an outage,
+		// does not report the runner's models. Treating these as absent would load them all
+		// on other runners.
 		if v == nil && !lost || v != nil && !v.Known && !v.Unreachable {
-			whole = false
+			complete = false
 		}
-		s.Runners = append(s.Runners, runnerOf(id, spec, v, lost || r.replica.Leaving(id)))
+		s.Runners = append(s.Runners, runnerOf(id, spec, v, lost || r.settings.Leaving(id)))
 	}
 	sort.Slice(s.Runners, func(i, j int) bool { return s.Runners[i].ID < s.Runners[j].ID })
-	return whole
+	return complete
 }
 
 func runnerOf(id string, spec tree.Endpoint, v *peerv1.View, gone bool) Runner {
@@ -218,22 +219,22 @@
 	return out
 }
 
-// ModelOf describes a model of the settings for the planner.
+// ModelOf returns the planner's view of a model in the settings.
 func ModelOf(t *tree.Tree, name string, fast, slow float64) Model {
 	spec, _ := t.Model(name)
 	coord := tree.Coord{Service: t.ServiceOf(name), Model: name}
 	eff := t.Effective(coord)
 	m := Model{
-		Name:       name,
-		Version:    spec.Version,
-		Bytes:      int64(spec.Memory),
-		Base:       spec.Base,
-		Load:       time.Duration(spec.Load),
-		Places:     map[string]bool{},
-		Fast:       fast,
-		Slow:       slow,
-		Moves:      eff.Moves,
-		Attainment: eff.Attainment,
+		Name:             name,
+		Version:          spec.Version,
+		Bytes:            int64(spec.Memory),
+		Base:             spec.Base,
+		Load:             time.Duration(spec.Load),
+		Places:           map[string]bool{},
+		Fast:             fast,
+		Slow:             slow,
+		MovePrice:        eff.Moves,
+		AttainmentWeight: eff.Attainment,
 	}
 	for _, e := range t.Endpoints() {
 		if _, known := m.Places[e.Place]; !known {
@@ -245,8 +246,9 @@
 	return m
 }
 
-func (r *Role) ask(ctx context.Context, m Move) {
-	spec, ok := r.replica.Tree().Endpoints()[m.Runner]
+// requestMove requests a move from the owner of its runner.
+func (r *Role) requestMove(ctx context.Context, m Move) {
+	spec, ok := r.settings.Tree().Endpoints()[m.Runner]
 	if !ok {
 		return
 	}
--- a/coordination/planner/room.go
+++ b/coordination/planner/room.go
@@ -6,31 +6,31 @@
 	"primroseward/state/ledger"
 )
 
-// makeRoom evicts from a runner what can be spared until a model fits. Only
-// models with at least spare ready replicas lose one.
-func (p Policy) makeRoom(v *view, r *runner, m *model, spare int) bool {
-	if r.busy > 0 || !p.mayTouch(v) {
+// freeMemory evicts replicas from a runner until a model fits, and reports whether it does.
+// Only models with at least minReady ready replicas lose one.
+func (p Policy) freeMemory(v *view, r *runner, m *model, minReady int) bool {
+	if r.changing > 0 || !p.mayChangeMore(v) {
 		return false
 	}
-	chosen := cheapest(p.victims(v, r, m, spare), m.Bytes-r.free)
+	chosen := chooseVictims(p.victims(v, r, m, minReady), m.Bytes-r.freeBytes)
 	for _, c := range chosen {
 		v.evictGroup(r, c)
 	}
 	return len(chosen) > 0
 }
 
-// cheapest chooses victims that free at least need bytes: the single one of
-// least worth that is large enough, else several, least worth per byte first;
-// nil if all together are too small.
-func cheapest(victims []victim, need int64) []victim {
-	var one *victim
+// chooseVictims chooses victims that free at least need bytes: the single one of lowest value
+// that is large enough, or else several, lowest value per byte first. It returns nil if all of
+// them together are too small.
+func chooseVictims(victims []victim, need int64) []victim {
+	var single *victim
 	for i := range victims {
-		if victims[i].bytes >= need && (one == nil || victims[i].worth < one.worth) {
-			one = &victims[i]
+		if victims[i].bytes >= need && (single == nil || victims[i].value < single.value) {
+			single = &victims[i]
 		}
 	}
-	if one != nil {
-		return []victim{*one}
+	if single != nil {
+		return []victim{*single}
 	}
 	var chosen []victim
 	for _, c := range victims {
@@ -43,79 +43,79 @@
 	return nil
 }
 
-// evictGroup evicts a model, or first the adapters on it: a base with adapters
-// cannot go, so it follows when they have gone.
+// evictGroup evicts a model, or only its adapters if it has any on the runner. A base model with
+// adapters cannot be evicted, so a later plan evicts it after them.
 func (v *view) evictGroup(r *runner, c victim) {
 	if len(c.adapters) == 0 {
-		v.evict(r, c.model, c.version, ReasonRoom)
+		v.planEvict(r, c.model, c.version, ReasonMemory)
 		return
 	}
 	for _, a := range c.adapters {
-		v.evict(r, a.model, a.version, ReasonRoom)
+		v.planEvict(r, a.model, a.version, ReasonMemory)
 	}
 }
 
-// mayTouch bounds the runners that are changing at once: a wrong signal must
-// not empty a fleet.
-func (p Policy) mayTouch(v *view) bool {
-	touched := 0
+// mayChangeMore reports whether another runner may start to change. The limit keeps a wrong
+// signal, such as a wrong load, from emptying a fleet.
+func (p Policy) mayChangeMore(v *view) bool {
+	changing := 0
 	for _, r := range v.runners {
-		if r.busy > 0 {
-			touched++
+		if r.changing > 0 {
+			changing++
 		}
 	}
-	return touched < max(1, int(p.Share*float64(len(v.runners))))
+	return changing < max(1, int(p.MaxChangingShare*float64(len(v.runners))))
 }
 
-// victim is a replica that can be spared, with the adapters that go with it.
+// victim is a replica that may be evicted, with the adapters that are evicted with it.
 type victim struct {
 	model    *model
 	version  string
 	bytes    int64
-	worth    float64
+	value    float64 // demand that the replica serves, in requests per second
 	adapters []victim
 }
 
-// victims returns the replicas on a runner that can be spared for a model,
-// least worth per byte first: each model keeps other ready replicas and, unless
-// a floor is at stake, carries its load without this one.
-func (p Policy) victims(v *view, r *runner, wanting *model, spare int) []victim {
+// victims returns the replicas on a runner that may be evicted for a model, lowest value per
+// byte first. Each of their models keeps other ready replicas. Unless the other model has no
+// replica at all, their models must also be able to serve their load without the replica.
+func (p Policy) victims(v *view, r *runner, incoming *model, minReady int) []victim {
 	var out []victim
 	for _, e := range r.Entries {
-		if one, ok := p.victim(v, r, e, spare); ok && e.Model != wanting.Base {
-			out = append(out, one)
+		if candidate, ok := p.victim(v, r, e, minReady); ok && e.Model != incoming.Base {
+			out = append(out, candidate)
 		}
 	}
 	sort.SliceStable(out, func(i, j int) bool {
-		return out[i].worth*float64(out[j].bytes) < out[j].worth*float64(out[i].bytes)
+		return out[i].value*float64(out[j].bytes) < out[j].value*float64(out[i].bytes)
 	})
 	return out
 }
 
-func (p Policy) victim(v *view, r *runner, e ledger.Entry, spare int) (victim, bool) {
+func (p Policy) victim(v *view, r *runner, e ledger.Entry, minReady int) (victim, bool) {
 	m := v.models[e.Model]
-	if m == nil || e.State != ledger.Ready || m.ready < spare {
+	if m == nil || e.State != ledger.Ready || m.ready < minReady {
 		return victim{}, false
 	}
 	demand := m.demand()
 	if p.NoSlow {
 		demand = m.Fast
 	}
-	if spare >= spareForDemand && m.pressure() > p.Low && demand > 0 {
+	if minReady >= minReplicasForDemand && m.lowestLoad() > p.LowLoad && demand > 0 {
 		return victim{}, false
 	}
-	out := victim{model: m, version: e.Version, bytes: e.Bytes, worth: demand / float64(m.ready)}
+	out := victim{model: m, version: e.Version, bytes: e.Bytes, value: demand / float64(m.ready)}
 	for _, other := range r.Entries {
 		if a := v.models[other.Model]; a == nil || a.Base != e.Model {
 			continue
 		}
-		one, ok := p.victim(v, r, other, spare)
+		candidate, ok := p.victim(v, r, other, minReady)
 		if !ok {
 			return victim{}, false
 		}
-		out.adapters = append(out.adapters, one)
-		out.bytes += one.bytes
-		out.worth += one.worth
+		out.adapters = append(out.adapters, candidate)
+		out.bytes += candidate.bytes
+		out.value += candidate.value
 	}
 	return out, true
 }
--- a/coordination/planner/state.go
+++ b/coordination/planner/state.go
@@ -1,6 +1,6 @@
-// Package planner decides which models are loaded and evicted where. Its
-// decisions are pure functions of a State, so the same code runs in the daemon
-// and against recorded or made-up demand in virtual time.
+// Package planner decides which models are loaded and evicted on which runners. Its decisions
+// are pure functions of a State, so the same code runs in the daemon and against recorded or
+// synthetic demand in virtual time.
 package planner
 
 import (
@@ -11,41 +11,41 @@
 	"primroseward/state/ledger"
 )
 
-// Model is one model or adapter as the planner sees it.
+// Model is the planner's view of a model or an adapter.
 type Model struct {
-	Name       string
-	Version    string // that should be served
-	Bytes      int64
-	Base       string // of an adapter
-	Load       time.Duration
-	Places     map[string]bool // where it may be served
-	Fast       float64         // requests per second, moving average of seconds
-	Slow       float64         // requests per second, moving average of minutes
-	Moves      float64         // price of a move
-	Attainment float64         // weight of a target met
-}
-
-// Runner is one runner as its owner reports it.
+	Name             string
+	Version          string // version that the settings name
+	Bytes            int64
+	Base             string // for an adapter: its base model
+	Load             time.Duration
+	Places           map[string]bool // data centres where it may be served
+	Fast             float64         // requests per second, moving average over seconds
+	Slow             float64         // requests per second, moving average over minutes
+	MovePrice        float64         // price of a move, in requests that meet their target latency
+	AttainmentWeight float64         // weight of a request that meets its target latency
+}
+
+// Runner is the planner's view of a runner, as reported by its owner.
 type Runner struct {
 	ID       string
 	Place    string
 	Capacity int64
 	Entries  []ledger.Entry
 	Slots    int
-	Cost     time.Duration // mean time that a request holds a slot
-	Gone     bool          // leaving, drained or lost: its models do not count
+	Cost     time.Duration // mean time that a request occupies a slot
+	Gone     bool          // leaving, drained or lost: its replicas do not count
 }
 
-// State is all that a decision depends on.
+// State is the complete input of a plan.
 type State struct {
 	Now     time.Time
 	Models  []Model
 	Runners []Runner
-	Slots   int  // loads that the weight store takes at once
-	Pause   bool // only repairs
+	Slots   int  // loads that the weight store serves at the same time
+	Pause   bool // the settings allow only repairs
 }
 
-// Move is one change that the planner asks an owner for.
+// Move is one load or eviction that the planner requests from a runner's owner.
 type Move struct {
 	Kind    core.OrderKind
 	Runner  string
@@ -56,15 +56,15 @@
 
 // Reasons of moves.
 const (
-	ReasonFloor   = "floor"   // the model had no replica
-	ReasonSecond  = "second"  // a second place for the model
-	ReasonDemand  = "demand"  // more requests than its runners take
-	ReasonRoom    = "room"    // makes room for another model
-	ReasonVersion = "version" // the settings name another version
-	ReasonPlace   = "place"   // the settings no longer allow it there
+	ReasonFloor         = "floor"   // the model had no replica
+	ReasonSecondReplica = "second"  // a second replica, in another data centre
+	ReasonDemand        = "demand"  // more requests than the model's runners can serve
+	ReasonMemory        = "room"    // frees memory for another model
+	ReasonVersion       = "version" // the settings name another version
+	ReasonNotAllowed    = "place"   // the settings no longer allow it in this data centre
 )
 
-// replica is one model version on one runner, while planning.
+// replica is one version of a model on one runner, during planning.
 type replica struct {
 	runner *runner
 	entry  ledger.Entry
@@ -72,28 +72,28 @@
 
 type runner struct {
 	*Runner
-	free int64
-	load float64 // expected share of its slots in use
-	busy int     // loads and evictions under way or planned now
+	freeBytes int64
+	load      float64 // expected share of its slots in use
+	changing  int     // loads and evictions in progress or planned now
 }
 
 type model struct {
 	*Model
-	replicas []replica // any state, wherever they count
-	ready    int
-	coming   int // loading
+	replicas []replica // in any state, on runners and in data centres that count
+	ready    int       // ready replicas
+	loading  int       // replicas being loaded
 }
 
-// view is a State arranged for planning.
+// view is a State indexed for planning.
 type view struct {
 	*State
-	runners []*runner
-	byID    map[string]*runner
-	models  map[string]*model
-	names   []string // of models, biggest first
-	loads   int      // under way or planned now
-	moves   []Move
-	lacking []string // why a model cannot be placed
+	runners     []*runner
+	byID        map[string]*runner
+	models      map[string]*model
+	names       []string // of the models: base models before adapters, then largest first
+	loads       int      // loads in progress or planned now
+	moves       []Move
+	unplaceable []string // models that cannot be placed, with the reason
 }
 
 func newView(s *State) *view {
@@ -116,40 +116,40 @@
 	for i := range s.Runners {
 		v.addRunner(&s.Runners[i])
 	}
-	v.spreadLoad()
+	v.estimateLoad()
 	return v
 }
 
 func (v *view) addRunner(r *Runner) {
-	one := &runner{Runner: r, free: r.Capacity}
-	v.runners = append(v.runners, one)
-	v.byID[r.ID] = one
+	planned := &runner{Runner: r, freeBytes: r.Capacity}
+	v.runners = append(v.runners, planned)
+	v.byID[r.ID] = planned
 	for _, e := range r.Entries {
-		one.free -= e.Bytes
+		planned.freeBytes -= e.Bytes
 		if e.State == ledger.Loading {
 			v.loads++
 		}
 		if e.State != ledger.Ready {
-			one.busy++
+			planned.changing++
 		}
 		m := v.models[e.Model]
 		if m == nil || r.Gone || !m.Places[r.Place] {
 			continue
 		}
-		m.replicas = append(m.replicas, replica{one, e})
+		m.replicas = append(m.replicas, replica{planned, e})
 		switch e.State {
 		case ledger.Ready:
 			m.ready++
 		case ledger.Loading:
-			m.coming++
+			m.loading++
 		}
 	}
 }
 
-// spreadLoad estimates each runner's load: a model's demand falls on its ready
-// replicas in proportion to the room that their runners have left.
-func (v *view) spreadLoad() {
-	for range spreadRounds {
+// estimateLoad estimates each runner's load. A model's demand is distributed over its ready
+// replicas in proportion to the free capacity of their runners.
+func (v *view) estimateLoad() {
+	for range estimateRounds {
 		next := map[*runner]float64{}
 		for _, name := range v.names {
 			m := v.models[name]
@@ -163,11 +163,11 @@
 	}
 }
 
-const spreadRounds = 4
+const estimateRounds = 4
 
 func (m *model) demand() float64 { return max(m.Fast, m.Slow) }
 
-// shares divides a model's demand among its ready replicas.
+// shares returns the share of a model's demand for each runner with a ready replica.
 func (m *model) shares() map[*runner]float64 {
 	out := map[*runner]float64{}
 	var sum float64
@@ -184,8 +184,8 @@
 	return out
 }
 
-// pressure is the load of the least loaded runner that serves the model.
-func (m *model) pressure() float64 {
+// lowestLoad returns the load of the least loaded runner that serves the model.
+func (m *model) lowestLoad() float64 {
 	best := -1.0
 	for _, rep := range m.replicas {
 		if rep.entry.State == ledger.Ready && (best < 0 || rep.runner.load < best) {
@@ -195,7 +195,7 @@
 	return max(0, best)
 }
 
-func (m *model) on(r *runner) bool {
+func (m *model) placedOn(r *runner) bool {
 	for _, rep := range m.replicas {
 		if rep.runner == r {
 			return true
@@ -204,7 +204,7 @@
 	return false
 }
 
-// readyOn says whether the model is ready on a runner in any version.
+// readyOn reports whether the model is ready on a runner in any version.
 func (m *model) readyOn(r *runner) bool {
 	for _, rep := range m.replicas {
 		if rep.runner == r && rep.entry.State == ledger.Ready {
@@ -214,8 +214,8 @@
 	return false
 }
 
-// home is the place of the first ready replica.
-func (m *model) home() string {
+// firstDataCentre returns the data centre of the model's first ready replica.
+func (m *model) firstDataCentre() string {
 	for _, rep := range m.replicas {
 		if rep.entry.State == ledger.Ready {
 			return rep.runner.Place
