--- a/coordination/placement/adapters.go
+++ b/coordination/placement/adapters.go
@@ -281,7 +281,7 @@
 			h.postAfter(next, func() { h.confirmAdapter(rs, w, item) })
 		}
 	case core.OrderUnknown, core.OrderRefused, core.OrderWrongHost:
-		// The slot counts as occupied until a report, requested by send, has been applied.
+		// send has marked the state as unknown. The slot counts as occupied until a new report.
 	}
 }
 
@@ -319,7 +319,7 @@
 			item.phase = unloading
 			h.postAfter(modelConfirmInterval, func() { rs.synced = false })
 		case core.OrderUnknown, core.OrderConflict, core.OrderRefused, core.OrderWrongHost:
-			// The slot counts as occupied until a report, requested by send, has been applied.
+			// send has marked the state as unknown. The slot counts as occupied until a new report.
 		}
 	})
 }
--- a/coordination/placement/engine_test.go
+++ b/coordination/placement/engine_test.go
@@ -31,16 +31,16 @@
 	rnd    *rand.Rand
 	faults faults
 
-	mu       sync.Mutex
-	sequence uint64
-	models   map[string]bool // present, loading and unloading
-	order    string          // order for a model in progress, empty if none
-	adapters map[string]bool // present and loading
-	coming   map[string]bool
-	busyWith map[string]bool // adapters that requests use
-	history  []snapshot
-	accepted int
-	terms    []uint64
+	mu              sync.Mutex
+	sequence        uint64
+	models          map[string]bool // present, loading and unloading
+	order           string          // order for a model in progress, empty if none
+	adapters        map[string]bool // present and loading
+	loadingAdapters map[string]bool
+	busyWith        map[string]bool // adapters that requests use
+	history         []snapshot
+	accepted        int
+	terms           []uint64
 }
 
 type snapshot struct {
@@ -49,7 +49,7 @@
 }
 
 func newEngine(t *testing.T, spec *core.Engine, rnd *rand.Rand, fs faults, models ...string) *engine {
-	e := &engine{t: t, spec: spec, rnd: rnd, faults: fs, models: map[string]bool{}, adapters: map[string]bool{}, coming: map[string]bool{}, busyWith: map[string]bool{}}
+	e := &engine{t: t, spec: spec, rnd: rnd, faults: fs, models: map[string]bool{}, adapters: map[string]bool{}, loadingAdapters: map[string]bool{}, busyWith: map[string]bool{}}
 	for _, m := range models {
 		e.models[m] = true
 	}
@@ -66,13 +66,13 @@
 		}
 		h := core.Holding{Model: m}
 		for a := range e.adapters {
-			if model, name, _ := splitAdapterName(a); model == m && !e.coming[a] {
+			if model, name, _ := splitAdapterName(a); model == m && !e.loadingAdapters[a] {
 				h.Adapters = append(h.Adapters, name)
 			}
 		}
 		r.Holdings = append(r.Holdings, h)
 	}
-	for a := range e.coming {
+	for a := range e.loadingAdapters {
 		r.Coming = append(r.Coming, a)
 	}
 	e.history = append(e.history, snapshot{time.Now(), r})
@@ -178,7 +178,7 @@
 func (e *engine) acceptAdapter(o core.RunnerOrder) core.OrderResult {
 	name := o.Model + "/" + o.Adapter
 	switch {
-	case o.Load && e.coming[name]:
+	case o.Load && e.loadingAdapters[name]:
 		return core.OrderAccepted
 	case e.adapters[name] == o.Load:
 		return core.OrderDone
@@ -190,15 +190,15 @@
 	e.sequence++
 	if !o.Load {
 		delete(e.adapters, name)
-		delete(e.coming, name)
+		delete(e.loadingAdapters, name)
 		return core.OrderDone
 	}
-	e.adapters[name], e.coming[name] = true, true
+	e.adapters[name], e.loadingAdapters[name] = true, true
 	e.checkMemory(o)
 	time.AfterFunc(7*time.Millisecond, func() {
 		e.mu.Lock()
 		defer e.mu.Unlock()
-		delete(e.coming, name)
+		delete(e.loadingAdapters, name)
 		e.recordState()
 	})
 	return core.OrderAccepted
--- a/coordination/placement/holder.go
+++ b/coordination/placement/holder.go
@@ -36,7 +36,7 @@
 	firstConfirmDelay = 6 * time.Millisecond
 	confirmInterval   = 3 * time.Millisecond
 	// modelConfirmInterval is the interval at which an order for a model is sent
-	// again for the same purpose. For a load this begins after modelConfirmPercent of
+	// again for the same purpose. For a load this begins after modelConfirmPercent % of
 	// the configured load time. When it began at once, orders for loads of four
 	// seconds made up two thirds of all orders.
 	modelConfirmInterval = 150 * time.Millisecond
--- a/coordination/placement/models.go
+++ b/coordination/placement/models.go
@@ -149,13 +149,13 @@
 		h.finishModelMove(rs, m, item)
 	case core.OrderAccepted, core.OrderConflict:
 		// A conflict after the order was accepted means that the same order is in progress. A
-		// conflict before that means that the sequence is unknown, and send has requested a
-		// report.
+		// conflict before that means that the sequence is unknown, and send has marked the
+		// state as unknown, so that a new report is requested.
 		if rs.synced {
 			h.postAfter(h.confirmDelay(rs, m, item), func() { h.confirmModel(rs, m, item) })
 		}
 	case core.OrderUnknown, core.OrderRefused, core.OrderWrongHost:
-		// The memory counts as occupied until a report, requested by send, has been applied.
+		// send has marked the state as unknown. The memory counts as occupied until a new report.
 	}
 }
 
--- a/coordination/placement/restart_test.go
+++ b/coordination/placement/restart_test.go
@@ -35,7 +35,7 @@
 func (fx *fixture) restart(id string, born time.Time) {
 	e := fx.engines[id]
 	e.mu.Lock()
-	e.models, e.adapters, e.coming = map[string]bool{}, map[string]bool{}, map[string]bool{}
+	e.models, e.adapters, e.loadingAdapters = map[string]bool{}, map[string]bool{}, map[string]bool{}
 	e.sequence, e.order, e.history = 0, "", nil
 	e.recordState()
 	e.mu.Unlock()
@@ -164,14 +164,14 @@
 func TestNothingIsSentToARunnerThatHasEnded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		fx := newFixture(t, 2, 2, faults{reportDelay: 200 * time.Millisecond}, 1)
-		gone := &exitedRunner{fakeRunners: fx.engines}
-		fx.holder.runnerClient = gone
+		exited := &exitedRunner{fakeRunners: fx.engines}
+		fx.holder.runnerClient = exited
 		fx.run(1, func() {
 			time.Sleep(settleTime + 2*time.Second)
-			gone.runner.Store("r1")
+			exited.runner.Store("r1")
 			fx.holder.postBlocking(func() { fx.holder.runners["r1"].synced = false })
 			time.Sleep(3 * time.Second)
-			assert.Assert(t, gone.count.Load() <= 1, "%d", gone.count.Load())
+			assert.Assert(t, exited.count.Load() <= 1, "%d", exited.count.Load())
 			assert.Assert(t, fx.holder.loads.Down("r1"))
 			assert.Assert(t, fx.engines["r0"].hasModel("m1"), "its model has not been loaded on the other runner")
 		})
--- a/coordination/planner/plan.go
+++ b/coordination/planner/plan.go
@@ -70,7 +70,7 @@
 
 // placeModel loads a model on a runner with enough free memory, or else evicts replicas to free
 // memory for it. It returns the reason if neither is possible. Waiting for a free load slot of
-// the weight store does not count as a reason.
+// the weight store, or for memory that is already being freed, is not a reason.
 func (p Policy) placeModel(v *view, m *model, reason string) string {
 	candidates := p.candidates(v, m)
 	if len(candidates) == 0 {
@@ -97,7 +97,7 @@
 }
 
 // memoryPending reports whether a candidate will have enough memory for a model once its
-// evictions in progress have finished.
+// evictions in progress and its entries in quarantine have ended.
 func memoryPending(candidates []*runner, m *model) bool {
 	for _, r := range candidates {
 		free := r.freeBytes
--- a/coordination/planner/room.go
+++ b/coordination/planner/room.go
@@ -6,8 +6,9 @@
 	"primroseward/state/ledger"
 )
 
-// freeMemory evicts replicas from a runner until a model fits, and reports whether it does.
-// Only models with at least minReady ready replicas lose one.
+// freeMemory evicts replicas from a runner so that a model will fit, and reports whether it
+// did. It evicts nothing while the runner or too many others are changing. Only models with at
+// least minReady ready replicas lose one.
 func (p Policy) freeMemory(v *view, r *runner, m *model, minReady int) bool {
 	if r.changing > 0 || !p.mayChangeMore(v) {
 		return false
@@ -56,7 +57,7 @@
 }
 
 // mayChangeMore reports whether another runner may start to change. The limit keeps a wrong
-// signal, such as a wrong load, from emptying a fleet.
+// signal from emptying a fleet.
 func (p Policy) mayChangeMore(v *view) bool {
 	changing := 0
 	for _, r := range v.runners {
