--- a/coordination/allowance/allowance.go
+++ b/coordination/allowance/allowance.go
@@ -1,16 +1,16 @@
-// Package allowance holds what all daemons let in together to a rate: of workspaces to
-// their allowances, of runners to the limits that they name in their answers.
+// Package allowance enforces rates over all daemons together: the allowances of workspaces,
+// the limits that runners declare in their answers, and the rates of the settings tree.
 //
-// Each rate is one bucket for the whole fleet. Each daemon that may be alive brings an even
-// part of it to the daemons that hear it: these share what all of them bring, and a daemon
-// that hears nobody has its own part. However the fleet falls apart, the parts together are
-// never more than the rate.
+// Each rate is one token bucket for the whole fleet. Every daemon that may be alive
+// contributes an equal part of it to the daemons that can receive its messages. Daemons that
+// reach each other share the sum of their parts, and an isolated daemon has only its own part,
+// so that under any network partition the parts add up to no more than the rate.
 //
-// Daemons tell each other what their callers ask for and what they have let in. Each keeps
-// an estimate of what is left in the bucket, and lets requests in with a probability that
-// falls as less is left for what is asked: no daemon has to know by which daemons the
-// callers come. Of a workspace's requests small ones go before large ones, as more are
-// served then; of a runner's, urgent ones before others.
+// Daemons send each other their callers' demand and the units that they have admitted. Each
+// daemon estimates the units left in the bucket and admits requests with a probability that
+// falls with the ratio of these units to the demand. This works without knowing at which
+// daemons the callers arrive. Among a workspace's requests small ones are preferred, since
+// more of them can be served; among a runner's, urgent ones.
 package allowance
 
 import (
@@ -26,97 +26,101 @@
 )
 
 const (
-	// quietShare and crowdShare are how many times its rate a workspace asks for up to which
-	// its rate is let in however little is left, and from which on only what is left is: of
-	// one that asks for much, what the others let in meanwhile is known too late.
-	quietShare = 0.8
-	crowdShare = 1.2
-	// youngFlow lowers that share for a bucket that has just been made. What is asked for is
-	// not known yet, and taken to be the rate at least.
-	youngFlow = 0.5
-	// slackShare is the part of the rule's slack that is used as more burst, which lets small
-	// workspaces send requests of usual size. What else the rule allows beyond rate and burst
-	// covers what daemons let in before they hear of each other.
+	// fullRefillDemand and noRefillDemand are ratios of a workspace's demand to its rate. Up
+	// to the first the whole refill is admitted, however few units are left; above the second
+	// only the units left in the bucket are, because at high demand the reports on what peers
+	// admit arrive too late.
+	fullRefillDemand = 0.8
+	noRefillDemand   = 1.2
+	// newBucketRefill is the part of the refill that a new bucket admits. Its demand is not
+	// measured yet and is assumed to be at least the rate.
+	newBucketRefill = 0.5
+	// slackShare is the part of the rule's slack that is added to the burst, so that small
+	// workspaces can send requests of usual size. The rest of the slack covers what daemons
+	// admit before they receive each other's reports.
 	slackShare = 0.45
-	// wordLife is how long what the others have told counts.
-	wordLife = 2 * time.Second
-	// missTime is how long it takes at most until daemons out of touch are missed.
-	missTime = 1200 * time.Millisecond
-	// youngFor is how long a bucket has just been made: it takes over what others say is left.
-	youngFor = time.Second
-	// follow is the share by which an estimate moves to what others tell in a turn.
-	follow = 0.2
-	// leastRetry and mostRetry bound the time after which a refused caller may come back.
-	leastRetry = 300 * time.Millisecond
-	mostRetry  = 8 * time.Second
-	// retrySpread is by how much that time is varied, so that callers do not come back
-	// together.
-	retrySpread = 0.5
-	// leastTold is the least rate, in units a second, that the others are told of.
-	leastTold = 0.01
-	// maxTagged bounds the workspaces that have counters of their own.
-	maxTagged = 64
+	// usageTTL is how long a report on the peers' usage is used.
+	usageTTL = 2 * time.Second
+	// lossDetectionTime is the longest time until unreachable daemons are detected.
+	lossDetectionTime = 1200 * time.Millisecond
+	// newBucketAge is the age up to which a bucket is new: it then adopts the units left that
+	// peers report.
+	newBucketAge = time.Second
+	// convergenceGain is the part of the difference to the peers' estimate by which each
+	// report corrects this daemon's.
+	convergenceGain = 0.2
+	// minRetry and maxRetry bound the retry time of a refused caller; maxRetry applies before
+	// jitter.
+	minRetry = 300 * time.Millisecond
+	maxRetry = 8 * time.Second
+	// retryJitter is the relative jitter of the retry time, so that callers do not return at
+	// the same moment.
+	retryJitter = 0.5
+	// minReportedRate, in units per second, is the lowest rate that is reported to peers.
+	minReportedRate = 0.01
+	// maxTaggedWorkspaces bounds the workspaces with metrics of their own.
+	maxTaggedWorkspaces = 64
 )
 
-// timing is how soon a bucket answers to what it learns.
+// timing sets how quickly a bucket reacts to its measurements.
 type timing struct {
-	horizon time.Duration // within which what is left is let in
-	asked   time.Duration // over which what is asked for is measured
-	spent   time.Duration // over which what is let in is measured
-	// counted: each request that the others let in is told at once, rather than how many a
-	// second are.
-	counted bool
+	horizon    time.Duration // time over which the units left are admitted
+	demandSpan time.Duration // averaging time of the demand
+	spentSpan  time.Duration // averaging time of the units admitted
+	// perRequest: peers report each admitted request at once, instead of a rate per second.
+	perRequest bool
 }
 
-// ofWorkspaces is for hundreds of requests a second.
-var ofWorkspaces = timing{horizon: time.Second, asked: 300 * time.Millisecond, spent: 300 * time.Millisecond}
+// workspaceTiming is for workspaces with hundreds of requests per second.
+var workspaceTiming = timing{horizon: time.Second, demandSpan: 300 * time.Millisecond, spentSpan: 300 * time.Millisecond}
 
-// Pool is one daemon's part in the shared buckets; it implements core.Allowance.
+// Pool is one daemon's view of the shared buckets. It implements core.Allowance.
 type Pool struct {
-	clock   core.Clock
-	timing  timing
-	window  func() core.Window
-	scope   tally.Scope
-	draw    func() float64
-	alone   bool
-	started time.Time
+	clock     core.Clock
+	timing    timing
+	window    func() core.Window
+	scope     tally.Scope
+	random    func() float64
+	evenParts bool
+	started   time.Time
 
 	buckets atomic.Pointer[map[core.Code]*bucket]
 	fleet   atomic.Pointer[fleet]
 
-	mu   sync.Mutex // of those who change the buckets or take in what others tell
-	told map[core.Code]core.Usage
-	tags map[string]counts
+	mu        sync.Mutex // guards changes to the buckets, and peerUsage and counters
+	peerUsage map[core.Code]core.Usage
+	counters  map[string]counters
 }
 
 var _ core.Allowance = (*Pool)(nil)
 
-// fleet is how many daemons are in touch, this one included, and how many there may be.
-type fleet struct{ heard, known int }
+// fleet is the number of reachable daemons, including this one, and of all daemons that may be
+// alive.
+type fleet struct{ reachable, known int }
 
-// share is the part of each bucket that the daemons in touch have.
+// share returns the part of each bucket that belongs to the reachable daemons.
 func (f *fleet) share() float64 {
 	if f.known <= 0 {
 		return 0
 	}
-	return float64(min(f.heard, f.known)) / float64(f.known)
+	return float64(min(f.reachable, f.known)) / float64(f.known)
 }
 
-// Option changes a Pool.
+// Option configures a Pool.
 type Option func(*Pool)
 
-// WithScope counts in a scope.
+// WithScope sets the scope of the metrics.
 func WithScope(s tally.Scope) Option { return func(p *Pool) { p.scope = s } }
 
-// WithDraw sets what draws numbers from 0 to 1.
-func WithDraw(fn func() float64) Option { return func(p *Pool) { p.draw = fn } }
+// WithRandom sets the source of random numbers in [0, 1).
+func WithRandom(fn func() float64) Option { return func(p *Pool) { p.random = fn } }
 
-// WithEvenParts gives each daemon an even part of each bucket for itself.
-func WithEvenParts() Option { return func(p *Pool) { p.alone = true } }
+// WithEvenParts gives each daemon an equal part of each bucket for itself, without sharing.
+func WithEvenParts() Option { return func(p *Pool) { p.evenParts = true } }
 
-// New makes a Pool of a daemon that has just started.
+// New returns the Pool of a daemon that has just started.
 func New(clock core.Clock, window func() core.Window, opts ...Option) *Pool {
-	p := &Pool{clock: clock, timing: ofWorkspaces, window: window, scope: tally.NoopScope, draw: rand.Float64, started: clock.Now(), tags: map[string]counts{}}
+	p := &Pool{clock: clock, timing: workspaceTiming, window: window, scope: tally.NoopScope, random: rand.Float64, started: clock.Now(), counters: map[string]counters{}}
 	for _, o := range opts {
 		o(p)
 	}
@@ -125,36 +129,36 @@
 	return p
 }
 
-// Configure takes in the workspaces of a new configuration. The bucket of a workspace that
-// stays goes on; a new one's holds what has come in since the daemon started, as nothing is
-// known of the time before.
+// Configure applies the workspaces of a new configuration. A workspace that stays keeps its
+// bucket. The bucket of a new one holds the refill since the daemon's start, because its
+// earlier usage is unknown.
 func (p *Pool) Configure(workspaces []*core.Workspace) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	was := *p.buckets.Load()
+	old := *p.buckets.Load()
 	next := make(map[core.Code]*bucket, len(workspaces))
 	window, now, share := p.window(), p.clock.Now(), p.fleet.Load().share()
 	for _, w := range workspaces {
 		if !w.Limited() || w.Invalid {
 			continue
 		}
-		b := was[w.Code]
+		b := old[w.Code]
 		if b == nil {
-			b = p.newBucket(w.Code, p.started, share, rateOf(w, window))
-			b.counts = p.countersOf(w.Name)
+			b = p.newBucket(w.Code, p.started, share, workspaceParams(w, window))
+			b.counters = p.countersOf(w.Name)
 		} else {
-			b.reconfigure(now, rateOf(w, window))
+			b.reconfigure(now, workspaceParams(w, window))
 		}
 		next[w.Code] = b
 	}
 	p.buckets.Store(&next)
 }
 
-// newBucket returns a bucket that fills since a time; the caller holds the lock.
-func (p *Pool) newBucket(code core.Code, since time.Time, share float64, r rate) *bucket {
-	b := &bucket{timing: p.timing, rate: r, at: since, born: since, share: share}
-	if u, ok := p.told[code]; ok {
-		b.hear(p.clock.Now(), u, share)
+// newBucket returns a bucket that fills from the time since; the caller holds p.mu.
+func (p *Pool) newBucket(code core.Code, since time.Time, share float64, r params) *bucket {
+	b := &bucket{timing: p.timing, params: r, updatedAt: since, createdAt: since, share: share}
+	if u, ok := p.peerUsage[code]; ok {
+		b.mergePeers(p.clock.Now(), u, share)
 		if !math.IsNaN(u.Left) {
 			b.left = u.Left
 		}
@@ -162,76 +166,76 @@
 	return b
 }
 
-// countersOf returns a workspace's counters; those beyond maxTagged share some. The caller
-// holds the lock.
-func (p *Pool) countersOf(name string) counts {
-	if c, ok := p.tags[name]; ok {
+// countersOf returns a workspace's metrics. Workspaces beyond maxTaggedWorkspaces share one
+// set. The caller holds p.mu.
+func (p *Pool) countersOf(name string) counters {
+	if c, ok := p.counters[name]; ok {
 		return c
 	}
 	tag := name
-	if len(p.tags) >= maxTagged {
+	if len(p.counters) >= maxTaggedWorkspaces {
 		tag = "other"
 	}
 	s := p.scope.Tagged(map[string]string{"workspace": tag})
-	c := counts{spent: s.Counter("allowance_spent"), refused: s.Counter("allowance_refused")}
+	c := counters{spent: s.Counter("allowance_spent"), refused: s.Counter("allowance_refused")}
 	if tag == name {
-		p.tags[name] = c
+		p.counters[name] = c
 	}
 	return c
 }
 
-// of returns a workspace's bucket, nil if it has no allowance.
-func (p *Pool) of(w *core.Workspace) *bucket { return (*p.buckets.Load())[w.Code] }
+// bucketOf returns a workspace's bucket, nil if it has no allowance.
+func (p *Pool) bucketOf(w *core.Workspace) *bucket { return (*p.buckets.Load())[w.Code] }
 
 // Take implements core.Allowance.
 func (p *Pool) Take(w *core.Workspace, units float64) core.Admission {
 	if w.Invalid {
-		return core.Admission{Retry: mostRetry}
+		return core.Admission{Retry: maxRetry}
 	}
-	b := p.of(w)
+	b := p.bucketOf(w)
 	if b == nil {
 		return core.Admission{OK: true}
 	}
 	return p.take(b, units, units)
 }
 
-// take lets units in from a bucket, or says when they may come back. Those of a small size
-// go before those of a large one.
+// take admits units from a bucket, or refuses them with a retry time. Requests of smaller size
+// are preferred.
 func (p *Pool) take(b *bucket, units, size float64) core.Admission {
 	f, now := p.fleet.Load(), p.clock.Now()
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.update(now)
-	b.asked.add(now, b.timing.asked, units)
-	out := core.Admission{Left: b.left, Asked: b.asked.rate(now, b.timing.asked) + b.others.Asked, Heard: f.heard, Known: f.known, Age: b.age(now)}
-	chance := b.chance(b.allowed(out.Asked, now.Sub(b.born) < youngFor), size)
-	if chance >= 1 || chance > 0 && p.draw() < chance {
+	b.demand.add(now, b.timing.demandSpan, units)
+	out := core.Admission{Left: b.left, Asked: b.demand.rate(now, b.timing.demandSpan) + b.peers.Asked, Heard: f.reachable, Known: f.known, Age: b.age(now)}
+	probability := b.admitProbability(b.admittedShare(out.Asked, now.Sub(b.createdAt) < newBucketAge), size)
+	if probability >= 1 || probability > 0 && p.random() < probability {
 		out.OK = true
 		b.spend(now, units)
 		return out
 	}
 	b.refuse(units)
-	out.Retry = p.retry(b, chance)
+	out.Retry = p.retry(b, probability)
 	return out
 }
 
-// retry is the time until a request is likely to be let in; the caller holds the bucket's
-// lock.
-func (p *Pool) retry(b *bucket, chance float64) time.Duration {
+// retry returns the time after which a refused request is likely to be admitted; the caller
+// holds b.mu.
+func (p *Pool) retry(b *bucket, probability float64) time.Duration {
 	var wait float64
-	switch refill := b.rate.perSecond * b.share; {
-	case chance > 0:
-		wait = b.timing.horizon.Seconds() / chance
+	switch refill := b.params.perSecond * b.share; {
+	case probability > 0:
+		wait = b.timing.horizon.Seconds() / probability
 	case refill > 0:
 		wait = b.timing.horizon.Seconds() - b.left/refill
 	}
-	wait = min(wait, mostRetry.Seconds()) * (1 + retrySpread*(2*p.draw()-1))
-	return max(leastRetry, time.Duration(wait*float64(time.Second)))
+	wait = min(wait, maxRetry.Seconds()) * (1 + retryJitter*(2*p.random()-1))
+	return max(minRetry, time.Duration(wait*float64(time.Second)))
 }
 
 // Charge implements core.Allowance.
 func (p *Pool) Charge(w *core.Workspace, units float64) {
-	b := p.of(w)
+	b := p.bucketOf(w)
 	if b == nil {
 		return
 	}
@@ -243,8 +247,8 @@
 // Give implements core.Allowance.
 func (p *Pool) Give(w *core.Workspace, units float64) { p.Charge(w, -units) }
 
-// Usage is what this daemon tells the others: of workspaces that are used, or whose bucket
-// is not full.
+// Usage returns the report for the peers. It covers the workspaces that are in use, here or at
+// peers, or whose bucket is not full.
 func (p *Pool) Usage() map[core.Code]core.Usage {
 	now := p.clock.Now()
 	out := map[core.Code]core.Usage{}
@@ -256,41 +260,41 @@
 	return out
 }
 
-// Heard takes in how many daemons are in touch, of how many that there may be, and what the
-// others in touch tell: their usage, and what they think is left, NaN where they do not
-// know it.
-func (p *Pool) Heard(heard, known int, others map[core.Code]core.Usage) {
-	if p.alone {
-		heard, others = min(1, heard), nil
+// Heard applies the peers' reports: the number of reachable daemons, the number of daemons
+// that may be alive, and the usage of the reachable peers. Left is the peers' estimate, NaN
+// where they have none.
+func (p *Pool) Heard(reachable, known int, usage map[core.Code]core.Usage) {
+	if p.evenParts {
+		reachable, usage = min(1, reachable), nil
 	}
-	f := &fleet{heard, known}
+	f := &fleet{reachable, known}
 	p.fleet.Store(f)
 	now := p.clock.Now()
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.told = others
+	p.peerUsage = usage
 	for code, b := range *p.buckets.Load() {
-		u, ok := others[code]
+		u, ok := usage[code]
 		if !ok {
 			u.Left = math.NaN()
 		}
-		b.hear(now, u, f.share())
+		b.mergePeers(now, u, f.share())
 	}
 }
 
-// State is what a daemon knows of a workspace's allowance.
+// State is a daemon's view of a workspace's allowance.
 type State struct {
 	Name    string
-	Rate    float64 // units a second
-	Asked   float64 // units a second, over all daemons in touch
-	Spent   float64 // units a second, over all daemons in touch
-	Left    float64 // units that may be let in at once
-	Share   float64 // of the allowance that the daemons in touch have
-	Refused int64   // requests, by this daemon since it started
+	Rate    float64 // units per second
+	Asked   float64 // units per second, over all reachable daemons
+	Spent   float64 // units per second, over all reachable daemons
+	Left    float64 // units that can be admitted at once
+	Share   float64 // part of the allowance that belongs to the reachable daemons
+	Refused int64   // requests refused by this daemon since its start
 	Age     time.Duration
 }
 
-// States tells of all workspaces that have an allowance.
+// States returns the state of every workspace with an allowance.
 func (p *Pool) States() []State {
 	now := p.clock.Now()
 	var out []State
--- a/coordination/allowance/bucket.go
+++ b/coordination/allowance/bucket.go
@@ -10,207 +10,211 @@
 	"primroseward/core"
 )
 
-// rate is what all daemons may let in together.
-type rate struct {
+// params are the parameters of a token bucket that all daemons share.
+type params struct {
 	name      string
-	perSecond float64 // units
-	depth     float64 // the most that may be left at once, in units
+	perSecond float64 // units per second
+	depth     float64 // capacity in units
 }
 
-// rateOf is the rate of a workspace's allowance.
-func rateOf(w *core.Workspace, window core.Window) rate {
-	return rate{name: w.Name, perSecond: w.Rate, depth: w.Burst + slackShare*window.Slack}
+// workspaceParams returns the parameters of a workspace's allowance.
+func workspaceParams(w *core.Workspace, window core.Window) params {
+	return params{name: w.Name, perSecond: w.Rate, depth: w.Burst + slackShare*window.Slack}
 }
 
-// bucket is one rate's, as this daemon knows it.
+// bucket is this daemon's estimate of a shared token bucket.
 type bucket struct {
-	timing  timing
-	born    time.Time
-	mu      sync.Mutex
-	rate    rate
-	left    float64 // units that may be let in at once, below 0 after too much was
-	share   float64 // of the bucket that left is of
-	at      time.Time
-	asked   meter
-	spent   meter
-	others  core.Usage // of the other daemons
-	heardAt time.Time  // when they told it; zero: never
-	size    size       // of the requests that are asked for
-	refused int64
-	counts  counts
-}
-
-// counts are a bucket's counters; none is counted where they are nil.
-type counts struct{ spent, refused tally.Counter }
-
-// has says whether a share of what may be left at once is.
-func (b *bucket) has(now time.Time, share float64) bool {
+	timing    timing
+	createdAt time.Time
+	mu        sync.Mutex
+	params    params
+	left      float64 // units that can be admitted at once, negative after too much was admitted
+	share     float64 // part of the whole bucket that left refers to
+	updatedAt time.Time
+	demand    meter
+	spent     meter
+	peers     core.Usage // reported by the peers
+	peersAt   time.Time  // time of that report; zero: none yet
+	sizes     meanSize   // size of the requests, admitted or not
+	refused   int64
+	counters  counters
+}
+
+// counters are a bucket's metrics; nil ones are skipped.
+type counters struct{ spent, refused tally.Counter }
+
+// hasLeft reports whether at least the given part of the bucket's capacity is left.
+func (b *bucket) hasLeft(now time.Time, share float64) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.update(now)
-	return b.share > 0 && b.left >= share*b.rate.depth*b.share
+	return b.share > 0 && b.left >= share*b.params.depth*b.share
 }
 
-// reconfigure takes in that the rate may have changed.
-func (b *bucket) reconfigure(now time.Time, r rate) {
+// reconfigure applies a rate that may have changed.
+func (b *bucket) reconfigure(now time.Time, r params) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.update(now)
-	if b.left < 0 && b.rate.perSecond > 0 && r.perSecond < b.rate.perSecond && b.timing.counted {
-		b.left *= r.perSecond / b.rate.perSecond // as many seconds of the new rate, or nothing would be let in for long
+	if b.left < 0 && b.params.perSecond > 0 && r.perSecond < b.params.perSecond && b.timing.perRequest {
+		// Keep the debt equal in seconds of the rate. Unscaled, it would block requests for
+		// long at the lower rate.
+		b.left *= r.perSecond / b.params.perSecond
 	}
-	b.rate = r
+	b.params = r
 	b.left = min(b.left, r.depth*b.share)
 }
 
-// update brings the estimate up to now; the caller holds the lock.
+// update advances the estimate to now; the caller holds b.mu.
 func (b *bucket) update(now time.Time) {
-	if now.Sub(b.heardAt) > wordLife {
-		b.others = core.Usage{}
+	if now.Sub(b.peersAt) > usageTTL {
+		b.peers = core.Usage{}
 	}
 	if b.share == 0 {
-		return // what comes in until the fleet's size is known comes in then
+		// updatedAt stays, so that the refill of this time is added once the size of the fleet
+		// is known.
+		return
 	}
-	seconds := max(0, now.Sub(b.at).Seconds())
-	b.at = now
-	gain := b.rate.perSecond * b.share
-	if !b.timing.counted {
-		gain -= b.others.Spent
+	seconds := max(0, now.Sub(b.updatedAt).Seconds())
+	b.updatedAt = now
+	gain := b.params.perSecond * b.share
+	if !b.timing.perRequest {
+		gain -= b.peers.Spent
 	}
-	b.left = min(b.rate.depth*b.share, b.left+gain*seconds)
+	b.left = min(b.params.depth*b.share, b.left+gain*seconds)
 }
 
-// miss takes in that daemons are out of touch: those in touch have a smaller share of the
-// bucket. Until they were missed the others may have let in as much as these, whatever they
-// told last. The caller holds the lock.
-func (b *bucket) miss(now time.Time, u core.Usage, share float64) {
-	gone := b.share - share
-	each := (b.spent.rate(now, b.timing.spent) + u.Spent) / share
-	told := max(0, b.others.Spent-u.Spent)
-	b.left -= max(0, each*gone-told) * missTime.Seconds()
+// removeUnreachable reduces the bucket to the smaller share of the daemons that are still
+// reachable. Until the loss was detected, each of the others may have admitted as much as each
+// of these, whatever its last report said. The caller holds b.mu.
+func (b *bucket) removeUnreachable(now time.Time, u core.Usage, share float64) {
+	lost := b.share - share
+	perShare := (b.spent.rate(now, b.timing.spentSpan) + u.Spent) / share
+	reported := max(0, b.peers.Spent-u.Spent)
+	b.left -= max(0, perShare*lost-reported) * lossDetectionTime.Seconds()
 	b.left *= share / b.share
 }
 
-// allowed is the share of what is asked for, in units a second over all daemons in touch,
-// that may be let in now; the caller holds the lock. What asks for no more than the rate is
-// let in as long as anything is left.
-func (b *bucket) allowed(asked float64, young bool) float64 {
-	refill, flow, horizon := b.rate.perSecond*b.share, 1.0, b.timing.horizon
+// admittedShare returns the part of the demand, in units per second over all reachable
+// daemons, that can be admitted now. A demand of no more than the rate is admitted as long as
+// any units are left. The caller holds b.mu.
+func (b *bucket) admittedShare(demand float64, isNew bool) float64 {
+	refill, refillPart, horizon := b.params.perSecond*b.share, 1.0, b.timing.horizon
 	if refill <= 0 {
-		return b.left / (asked * horizon.Seconds())
+		return b.left / (demand * horizon.Seconds())
 	}
-	if young {
-		asked, flow = max(asked, refill), youngFlow
+	if isNew {
+		demand, refillPart = max(demand, refill), newBucketRefill
 	}
-	flow *= min(1, max(0, (crowdShare-asked/refill)/(crowdShare-quietShare)))
-	return (flow*refill + b.left/horizon.Seconds()) / asked
+	refillPart *= min(1, max(0, (noRefillDemand-demand/refill)/(noRefillDemand-fullRefillDemand)))
+	return (refillPart*refill + b.left/horizon.Seconds()) / demand
 }
 
-// chance is the probability with which a request is let in where a share of what is asked
-// for can be; the caller holds the lock.
-func (b *bucket) chance(share, size float64) float64 {
-	b.size.add(size)
+// admitProbability returns the probability with which a request is admitted, given the part of
+// the demand that can be; the caller holds b.mu.
+func (b *bucket) admitProbability(share, size float64) float64 {
+	b.sizes.add(size)
 	if share >= 1 || share <= 0 {
 		return share
 	}
-	return math.Pow(share, math.Sqrt(size/b.size.mean()))
+	return math.Pow(share, math.Sqrt(size/b.sizes.mean()))
 }
 
-// spend counts units as let in, or back; the caller holds the lock.
+// spend counts units as admitted, or as returned if negative; the caller holds b.mu.
 func (b *bucket) spend(now time.Time, units float64) {
 	b.left -= units
-	b.spent.add(now, b.timing.spent, units)
-	if units > 0 && b.counts.spent != nil {
-		b.counts.spent.Inc(int64(units))
+	b.spent.add(now, b.timing.spentSpan, units)
+	if units > 0 && b.counters.spent != nil {
+		b.counters.spent.Inc(int64(units))
 	}
 }
 
-// spendElsewhere takes in what another daemon has let in.
-func (b *bucket) spendElsewhere(now time.Time, units float64) {
+// spendByPeer counts units that a peer has admitted.
+func (b *bucket) spendByPeer(now time.Time, units float64) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.update(now)
 	b.left -= units
 }
 
-// refuse counts units as refused; the caller holds the lock.
+// refuse counts units as refused; the caller holds b.mu.
 func (b *bucket) refuse(units float64) {
 	b.refused++
-	if b.counts.refused != nil {
-		b.counts.refused.Inc(int64(units))
+	if b.counters.refused != nil {
+		b.counters.refused.Inc(int64(units))
 	}
 }
 
-// hear takes in what the others in touch tell of the rate, and the share of the bucket that
-// all in touch have. One that has just been made takes their word for what is left.
-func (b *bucket) hear(now time.Time, u core.Usage, share float64) {
+// mergePeers applies the usage that reachable peers report, and the share of the bucket that
+// belongs to all reachable daemons. A new bucket adopts the peers' estimate of the units left.
+func (b *bucket) mergePeers(now time.Time, u core.Usage, share float64) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.update(now)
 	if share > 0 && share < b.share {
-		b.miss(now, u, share)
+		b.removeUnreachable(now, u, share)
 	}
-	first := b.heardAt.IsZero()
-	b.share, b.others, b.heardAt = share, u, now
+	first := b.peersAt.IsZero()
+	b.share, b.peers, b.peersAt = share, u, now
 	switch {
 	case math.IsNaN(u.Left):
-	case first && now.Sub(b.born) < youngFor:
+	case first && now.Sub(b.createdAt) < newBucketAge:
 		b.left = u.Left
 	default:
-		b.left += follow * (u.Left - b.left)
+		b.left += convergenceGain * (u.Left - b.left)
 	}
 }
 
-// usage is what the others are told, if there is anything to tell.
+// usage returns the report for the peers, false if there is nothing to report.
 func (b *bucket) usage(now time.Time) (core.Usage, bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.update(now)
-	u := core.Usage{Asked: b.asked.rate(now, b.timing.asked), Spent: b.spent.rate(now, b.timing.spent), Left: b.left}
-	return u, u.Asked >= leastTold || u.Spent >= leastTold || b.others.Asked >= leastTold || b.left < b.rate.depth*b.share
+	u := core.Usage{Asked: b.demand.rate(now, b.timing.demandSpan), Spent: b.spent.rate(now, b.timing.spentSpan), Left: b.left}
+	return u, u.Asked >= minReportedRate || u.Spent >= minReportedRate || b.peers.Asked >= minReportedRate || b.left < b.params.depth*b.share
 }
 
-// state tells operators of the rate.
+// state returns the bucket's state for operators.
 func (b *bucket) state(now time.Time) State {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.update(now)
 	return State{
-		Name: b.rate.name, Rate: b.rate.perSecond, Asked: b.asked.rate(now, b.timing.asked) + b.others.Asked, Spent: b.spent.rate(now, b.timing.spent) + b.others.Spent,
+		Name: b.params.name, Rate: b.params.perSecond, Asked: b.demand.rate(now, b.timing.demandSpan) + b.peers.Asked, Spent: b.spent.rate(now, b.timing.spentSpan) + b.peers.Spent,
 		Left: b.left, Share: b.share, Refused: b.refused, Age: b.age(now),
 	}
 }
 
-// age is how long ago the others told of it, 0 if they never have.
+// age returns the time since the last report of peers, 0 if there was none.
 func (b *bucket) age(now time.Time) time.Duration {
-	if b.heardAt.IsZero() {
+	if b.peersAt.IsZero() {
 		return 0
 	}
-	return now.Sub(b.heardAt)
+	return now.Sub(b.peersAt)
 }
 
-// sizeMemory is over how many requests their mean size is taken.
-const sizeMemory = 32
+// meanSizeWindow is the number of requests that the mean size covers.
+const meanSizeWindow = 32
 
-// size is the mean size of requests, each weighed by its own size.
-type size struct{ sum, squares float64 }
+// meanSize is the mean size of requests, weighted by their size.
+type meanSize struct{ sum, squares float64 }
 
-func (s *size) add(units float64) {
-	s.sum += (units - s.sum) / sizeMemory
-	s.squares += (units*units - s.squares) / sizeMemory
+func (s *meanSize) add(units float64) {
+	s.sum += (units - s.sum) / meanSizeWindow
+	s.squares += (units*units - s.squares) / meanSizeWindow
 }
 
-// mean is above 0 once a request of any size has been added.
-func (s *size) mean() float64 {
+// mean is positive once a request of any size has been added.
+func (s *meanSize) mean() float64 {
 	if s.sum <= 0 {
 		return 1
 	}
 	return s.squares / s.sum
 }
 
-// meter measures a rate over a span.
+// meter measures a rate with exponential decay over a time span.
 type meter struct {
-	value float64 // units a second as of at
+	value float64 // units per second at that time
 	at    time.Time
 }
 
--- a/coordination/allowance/limits.go
+++ b/coordination/allowance/limits.go
@@ -15,96 +15,96 @@
 )
 
 const (
-	// leastRate is what is sent a second to a runner that names less, or none: only an answer
-	// tells that its limit has ended.
-	leastRate = 0.25
-	// depthTime is the time of a runner's limit that may be sent at once, leastDepth the
-	// least number of requests.
-	depthTime  = 500 * time.Millisecond
-	leastDepth = 2
-	// spareShare is the part of what may be sent at once that must be left for a request that
-	// another runner could serve.
-	spareShare = 0.5
-	// tellEvery is how often at most a runner's limit is told to the others where it changes,
-	// retellEvery how often where it does not.
-	tellEvery   = 200 * time.Millisecond
-	retellEvery = time.Second
-	// endMemory is how long the end of a limit is told again, and words of it that are late
-	// are not believed.
-	endMemory = time.Second
-	// countEvery is how often at most a daemon tells what it has sent to a limited runner; the
-	// rest is told with the next request, or turn.
-	countEvery = 50 * time.Millisecond
-	// limitMemory is how long a limit is kept that nobody hears of.
-	limitMemory = time.Minute
-	// problemEvery is how often at most a limit that can't be read is logged.
-	problemEvery = time.Second
+	// minRate, in requests per second, is the rate that is sent even to a runner that declares
+	// less or 0, since only an answer can show that its limit has ended.
+	minRate = 0.25
+	// depthTime times the declared rate is the capacity of a runner's bucket, which is at
+	// least minDepth requests.
+	depthTime = 500 * time.Millisecond
+	minDepth  = 2
+	// spareFill is how full a runner's bucket must be, as a part of its capacity, for requests
+	// that another runner could serve.
+	spareFill = 0.5
+	// broadcastInterval is the least time between two broadcasts of a runner's limit that
+	// changes, rebroadcastInterval of one that does not.
+	broadcastInterval   = 200 * time.Millisecond
+	rebroadcastInterval = time.Second
+	// endRetention is how long the end of a limit is broadcast again and late updates on the
+	// limit are ignored.
+	endRetention = time.Second
+	// sentInterval is the least time between two broadcasts of how many requests were sent to
+	// a limited runner. The rest goes out with the next request or report.
+	sentInterval = 50 * time.Millisecond
+	// limitTTL is how long a limit is kept without an update.
+	limitTTL = time.Minute
+	// problemLogInterval is the least time between two log entries about unreadable limits.
+	problemLogInterval = time.Second
 )
 
-// ofLimits is for a few requests a second: over a shorter time one request looks like a
-// crowd.
-var ofLimits = timing{horizon: 300 * time.Millisecond, asked: time.Second, spent: 300 * time.Millisecond, counted: true}
+// limitTiming is for runners with a few requests per second. Over a shorter averaging time a
+// single request would look like high demand.
+var limitTiming = timing{horizon: 300 * time.Millisecond, demandSpan: time.Second, spentSpan: 300 * time.Millisecond, perRequest: true}
 
-// Word is what daemons tell each other of a runner: its limit, or how many requests were
-// sent to it under that.
+// Word is a message between daemons about a runner: its limit, or how many requests were sent
+// to it under the limit.
 type Word struct {
 	Runner  string  `json:"r"`
 	Limited bool    `json:"l,omitempty"`
-	Rate    float64 `json:"s,omitempty"` // requests a second
-	Sent    float64 `json:"n,omitempty"` // requests since the last word; other than 0: nothing else is told
+	Rate    float64 `json:"s,omitempty"` // requests per second
+	Sent    float64 `json:"n,omitempty"` // requests since the last such message; if not 0, Limited and Rate are unset
 }
 
-// Limits holds what all daemons send to a runner to the limit that it names in its answers,
-// and what they let in of a service to the rate that the settings allow. Nothing is kept of
-// runners and services without one.
+// Limits enforces over all daemons the limits that runners declare in their answers, and the
+// rates of services that the settings allow. It stores nothing for runners and services
+// without a limit.
 type Limits struct {
-	clock core.Clock
-	log   *zap.Logger
-	scope tally.Scope
-	pool  *Pool
-	tell  func(Word)
+	clock     core.Clock
+	log       *zap.Logger
+	scope     tally.Scope
+	pool      *Pool
+	broadcast func(Word)
 
-	limits atomic.Pointer[map[string]*limit]
-	ended  atomic.Pointer[map[string]end] // limits that have ended lately
+	limits      atomic.Pointer[map[string]*limit]
+	endedLimits atomic.Pointer[map[string]limitEnd] // limits that ended within endRetention
 
-	mu        sync.Mutex // of those who change the limits
-	problemAt time.Time  // when one that can't be read was last logged
+	mu              sync.Mutex // guards changes to the limits
+	problemLoggedAt time.Time  // when an unreadable limit was last logged
 }
 
-// limit is what a runner has named.
+// limit is a runner's limit as last declared.
 type limit struct {
-	rate   float64 // requests a second
-	began  time.Time
-	at     time.Time // when it was last heard
-	from   string    // the daemon that heard it from the runner; empty: this one
-	told   time.Time // when the others were last told, or told this daemon
-	word   float64   // the rate that they know by that
-	bucket *bucket
+	rate          float64 // requests per second
+	since         time.Time
+	declaredAt    time.Time // time of the last declaration
+	source        string    // daemon that received it from the runner; empty: this one
+	broadcastAt   time.Time // when the limit was last broadcast, by this daemon or to it
+	broadcastRate float64   // rate of that broadcast
+	bucket        *bucket
 
-	own *sending
+	sender *sender
 }
 
-// sending is what this daemon sends to a limited runner.
-type sending struct {
-	mu      sync.Mutex
-	spareAt time.Time // from when on a request that another runner could serve may be sent
-	untold  float64   // requests sent that the others do not know of
-	toldAt  time.Time // when they were last told
+// sender is what this daemon sends to a limited runner.
+type sender struct {
+	mu          sync.Mutex
+	nextSpareAt time.Time // earliest time of the next request that another runner could serve
+	unreported  float64   // requests sent since the last broadcast
+	reportedAt  time.Time // time of that broadcast
 }
 
-// end is of a limit.
-type end struct{ at, told time.Time }
+// limitEnd is the end of a limit.
+type limitEnd struct{ at, broadcastAt time.Time }
 
-// LimitsOption changes Limits.
+// LimitsOption configures Limits.
 type LimitsOption func(*Limits)
 
-// WithTell sets what tells the other daemons of a runner's limit.
-func WithTell(fn func(Word)) LimitsOption { return func(r *Limits) { r.tell = fn } }
+// WithTell sets the function that broadcasts a runner's limit to the peers.
+func WithTell(fn func(Word)) LimitsOption { return func(r *Limits) { r.broadcast = fn } }
 
-// WithLimitsScope counts in a scope.
+// WithLimitsScope sets the scope of the metrics.
 func WithLimitsScope(s tally.Scope) LimitsOption { return func(r *Limits) { r.scope = s } }
 
-// WithPool changes the pool of the limits.
+// WithPool applies options to the pool that enforces the limits.
 func WithPool(opts ...Option) LimitsOption {
 	return func(r *Limits) {
 		for _, o := range opts {
@@ -113,151 +113,153 @@
 	}
 }
 
-// NewLimits returns Limits that knows no limits. Until Heard is called nothing is sent to
-// a limited runner.
+// NewLimits returns Limits without any limit. No requests are admitted to a limited runner
+// until Heard is called.
 func NewLimits(clock core.Clock, log *zap.Logger, opts ...LimitsOption) *Limits {
-	r := &Limits{clock: clock, log: log, scope: tally.NoopScope, tell: func(Word) {}}
+	r := &Limits{clock: clock, log: log, scope: tally.NoopScope, broadcast: func(Word) {}}
 	r.pool = New(clock, func() core.Window { return core.Window{} })
-	r.pool.timing = ofLimits
+	r.pool.timing = limitTiming
 	for _, o := range opts {
 		o(r)
 	}
 	r.limits.Store(&map[string]*limit{})
-	r.ended.Store(&map[string]end{})
+	r.endedLimits.Store(&map[string]limitEnd{})
 	return r
 }
 
 // limitOf returns a runner's limit, nil if it has none.
 func (r *Limits) limitOf(runner string) *limit { return (*r.limits.Load())[runner] }
 
-// Answered takes in what an answer of a runner says of its limit. A rejection that names
-// none may have been written by another instance, or before the request was looked at.
+// Answered applies the limit that a runner's answer declares. A rejection without one does not
+// end a limit: it may come from another instance, or have been written before the request was
+// examined.
 func (r *Limits) Answered(runner string, info core.ReplyInfo) {
-	if _, ended := (*r.ended.Load())[runner]; !ended && info.Limit == (core.RateLimit{}) && r.limitOf(runner) == nil {
+	if _, ended := (*r.endedLimits.Load())[runner]; !ended && info.Limit == (core.RateLimit{}) && r.limitOf(runner) == nil {
 		return
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if info.Limit.Problem != "" {
-		r.noteProblem(runner, info.Limit.Problem)
+		r.reportUnreadable(runner, info.Limit.Problem)
 	}
 	switch {
 	case info.Limit.Named:
 		r.set(runner, info.Limit.Rate, "")
 	case info.Stamped && !info.NotRun:
-		r.unset(runner, "")
-		r.tellEnd(runner)
+		r.remove(runner, "")
+		r.broadcastEnd(runner)
 	}
 }
 
-// Told takes in what another daemon has heard from a runner.
+// Told applies an update that a peer has broadcast.
 func (r *Limits) Told(from string, w Word) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	switch l := r.limitOf(w.Runner); {
 	case w.Sent != 0 && l != nil:
-		l.bucket.spendElsewhere(r.clock.Now(), w.Sent)
+		l.bucket.spendByPeer(r.clock.Now(), w.Sent)
 	case w.Sent != 0:
 	case w.Limited:
-		if l != nil || !r.endedLately(w.Runner) {
+		if l != nil || !r.recentlyEnded(w.Runner) {
 			r.set(w.Runner, w.Rate, from)
 		}
 	default:
-		r.unset(w.Runner, from)
+		r.remove(w.Runner, from)
 	}
 }
 
-// noteProblem counts a limit that can't be read; the caller holds the lock.
-func (r *Limits) noteProblem(runner, problem string) {
+// reportUnreadable counts a limit that cannot be parsed, and logs it at most once per
+// problemLogInterval; the caller holds r.mu.
+func (r *Limits) reportUnreadable(runner, problem string) {
 	r.scope.Counter("runner_limits_unreadable").Inc(1)
-	if now := r.clock.Now(); now.Sub(r.problemAt) >= problemEvery {
-		r.problemAt = now
+	if now := r.clock.Now(); now.Sub(r.problemLoggedAt) >= problemLogInterval {
+		r.problemLoggedAt = now
 		r.log.Warn(logs.RunnerLimitUnreadable, zap.String("runner", runner), zap.String("problem", problem))
 	}
 }
 
-// set takes in a runner's limit; the caller holds the lock.
-func (r *Limits) set(runner string, perSecond float64, from string) {
-	now, was := r.clock.Now(), r.limitOf(runner)
-	next := &limit{rate: perSecond, began: now, at: now, from: from}
-	former := 0.0
-	if was == nil {
+// set stores a runner's limit; the caller holds r.mu.
+func (r *Limits) set(runner string, perSecond float64, source string) {
+	now, old := r.clock.Now(), r.limitOf(runner)
+	next := &limit{rate: perSecond, since: now, declaredAt: now, source: source}
+	oldRate := 0.0
+	if old == nil {
 		next.bucket = r.newBucket(runner, now, perSecond)
-		next.own = &sending{spareAt: now.Add(r.sparePause(max(leastRate, perSecond)))}
+		next.sender = &sender{nextSpareAt: now.Add(r.spareInterval(max(minRate, perSecond)))}
 	} else {
-		next.bucket, next.own, next.began, next.told, next.word, former = was.bucket, was.own, was.began, was.told, was.word, was.rate
+		next.bucket, next.sender, next.since, next.broadcastAt, next.broadcastRate, oldRate = old.bucket, old.sender, old.since, old.broadcastAt, old.broadcastRate, old.rate
 	}
-	if was == nil || former != perSecond {
-		next.bucket.reconfigure(now, rateOfRunner(runner, perSecond))
+	if old == nil || oldRate != perSecond {
+		next.bucket.reconfigure(now, runnerParams(runner, perSecond))
 		r.log.Info(logs.RunnerLimit, zap.String("runner", runner), zap.Bool("limited", true), zap.Float64("rate", perSecond),
-			zap.Float64("former", former), zap.String("from", from), zap.Duration("since", now.Sub(next.began)))
+			zap.Float64("former", oldRate), zap.String("from", source), zap.Duration("since", now.Sub(next.since)))
 	}
-	r.spread(runner, next, now)
+	r.broadcastLimit(runner, next, now)
 	limits := maps.Clone(*r.limits.Load())
 	limits[runner] = next
-	maps.DeleteFunc(limits, func(_ string, l *limit) bool { return now.Sub(l.at) >= limitMemory })
-	r.replace(limits)
+	maps.DeleteFunc(limits, func(_ string, l *limit) bool { return now.Sub(l.declaredAt) >= limitTTL })
+	r.publish(limits)
 }
 
-// spread tells the others of a limit that they do not know, or have not been told of for
-// long; the caller holds the lock.
-func (r *Limits) spread(runner string, l *limit, now time.Time) {
-	if l.from != "" {
-		l.told, l.word = now, l.rate
+// broadcastLimit broadcasts a limit that has changed since the last broadcast, or whose last
+// broadcast is too long ago; the caller holds r.mu.
+func (r *Limits) broadcastLimit(runner string, l *limit, now time.Time) {
+	if l.source != "" {
+		l.broadcastAt, l.broadcastRate = now, l.rate
 		return
 	}
-	pause := tellEvery
-	if l.word == l.rate {
-		pause = retellEvery
+	interval := broadcastInterval
+	if l.broadcastRate == l.rate {
+		interval = rebroadcastInterval
 	}
-	if now.Sub(l.told) >= pause {
-		l.told, l.word = now, l.rate
-		r.tell(Word{Runner: runner, Limited: true, Rate: l.rate})
+	if now.Sub(l.broadcastAt) >= interval {
+		l.broadcastAt, l.broadcastRate = now, l.rate
+		r.broadcast(Word{Runner: runner, Limited: true, Rate: l.rate})
 	}
 }
 
-// endedLately says whether a limit has ended within endMemory, and forgets those that ended
-// before; the caller holds the lock.
-func (r *Limits) endedLately(runner string) bool {
+// recentlyEnded reports whether a limit has ended within endRetention, and drops the older
+// entries; the caller holds r.mu.
+func (r *Limits) recentlyEnded(runner string) bool {
 	now := r.clock.Now()
-	lately := maps.Clone(*r.ended.Load())
-	maps.DeleteFunc(lately, func(_ string, e end) bool { return now.Sub(e.at) >= endMemory })
-	r.ended.Store(&lately)
-	_, ok := lately[runner]
+	recent := maps.Clone(*r.endedLimits.Load())
+	maps.DeleteFunc(recent, func(_ string, e limitEnd) bool { return now.Sub(e.at) >= endRetention })
+	r.endedLimits.Store(&recent)
+	_, ok := recent[runner]
 	return ok
 }
 
-// tellEnd tells the others of the end of a limit, again with later answers as a message may
-// be lost; the caller holds the lock.
-func (r *Limits) tellEnd(runner string) {
+// broadcastEnd broadcasts the end of a limit. It is broadcast again with later answers,
+// because a message may be lost. The caller holds r.mu.
+func (r *Limits) broadcastEnd(runner string) {
 	now := r.clock.Now()
-	if !r.endedLately(runner) || now.Sub((*r.ended.Load())[runner].told) < tellEvery {
+	if !r.recentlyEnded(runner) || now.Sub((*r.endedLimits.Load())[runner].broadcastAt) < broadcastInterval {
 		return
 	}
-	ended := maps.Clone(*r.ended.Load())
-	ended[runner] = end{at: ended[runner].at, told: now}
-	r.ended.Store(&ended)
-	r.tell(Word{Runner: runner})
+	ended := maps.Clone(*r.endedLimits.Load())
+	ended[runner] = limitEnd{at: ended[runner].at, broadcastAt: now}
+	r.endedLimits.Store(&ended)
+	r.broadcast(Word{Runner: runner})
 }
 
-// unset takes in that a runner names no limit any more; the caller holds the lock.
-func (r *Limits) unset(runner, from string) {
-	was := r.limitOf(runner)
-	if was == nil {
+// remove drops a runner's limit; the caller holds r.mu.
+func (r *Limits) remove(runner, source string) {
+	old := r.limitOf(runner)
+	if old == nil {
 		return
 	}
-	ended := maps.Clone(*r.ended.Load())
-	ended[runner] = end{at: r.clock.Now()}
-	r.ended.Store(&ended)
-	r.log.Info(logs.RunnerLimit, zap.String("runner", runner), zap.Bool("limited", false), zap.Float64("former", was.rate),
-		zap.String("from", from), zap.Duration("since", r.clock.Since(was.began)))
+	ended := maps.Clone(*r.endedLimits.Load())
+	ended[runner] = limitEnd{at: r.clock.Now()}
+	r.endedLimits.Store(&ended)
+	r.log.Info(logs.RunnerLimit, zap.String("runner", runner), zap.Bool("limited", false), zap.Float64("former", old.rate),
+		zap.String("from", source), zap.Duration("since", r.clock.Since(old.since)))
 	limits := maps.Clone(*r.limits.Load())
 	delete(limits, runner)
-	r.replace(limits)
+	r.publish(limits)
 }
 
-// replace puts the limits in force; the caller holds the lock.
-func (r *Limits) replace(limits map[string]*limit) {
+// publish puts a new set of limits in force; the caller holds r.mu.
+func (r *Limits) publish(limits map[string]*limit) {
 	r.limits.Store(&limits)
 	buckets := make(map[core.Code]*bucket, len(limits))
 	for runner, l := range limits {
@@ -269,23 +271,23 @@
 	r.scope.Gauge("runners_limited").Update(float64(len(limits)))
 }
 
-// newBucket returns the empty bucket of a runner that has just named a limit.
+// newBucket returns the empty bucket of a runner that has just declared a limit.
 func (r *Limits) newBucket(runner string, now time.Time, perSecond float64) *bucket {
 	r.pool.mu.Lock()
 	defer r.pool.mu.Unlock()
-	return r.pool.newBucket(core.CodeOf(runner), now, r.pool.fleet.Load().share(), rateOfRunner(runner, perSecond))
+	return r.pool.newBucket(core.CodeOf(runner), now, r.pool.fleet.Load().share(), runnerParams(runner, perSecond))
 }
 
-// rateOfRunner is the rate at which requests are sent to a runner that names a limit.
-func rateOfRunner(runner string, perSecond float64) rate {
-	perSecond = max(leastRate, perSecond)
-	return rate{name: runner, perSecond: perSecond, depth: max(leastDepth, depthTime.Seconds()*perSecond)}
+// runnerParams returns the bucket parameters of a runner with a limit.
+func runnerParams(runner string, perSecond float64) params {
+	perSecond = max(minRate, perSecond)
+	return params{name: runner, perSecond: perSecond, depth: max(minDepth, depthTime.Seconds()*perSecond)}
 }
 
-// Limit is what a runner has named, as this daemon knows it.
+// Limit is this daemon's view of a runner's limit.
 type Limit struct {
-	Rate float64       // requests a second
-	Age  time.Duration // since a daemon heard it from the runner
+	Rate float64       // requests per second
+	Age  time.Duration // since a daemon received it from the runner
 	From string        // that daemon; empty: this one
 	// Spare: a request that another runner could serve may be sent as well.
 	Spare bool
@@ -298,62 +300,63 @@
 		return Limit{}, false
 	}
 	now := r.clock.Now()
-	return Limit{Rate: l.rate, Age: now.Sub(l.at), From: l.from, Spare: l.own.spare(now) && l.bucket.has(now, spareShare)}, true
+	return Limit{Rate: l.rate, Age: now.Sub(l.declaredAt), From: l.source, Spare: l.sender.spareDue(now) && l.bucket.hasLeft(now, spareFill)}, true
 }
 
-// spare says whether the time has come for a request that another runner could serve.
-func (u *sending) spare(now time.Time) bool {
+// spareDue reports whether a request that another runner could serve may be sent at this time.
+func (u *sender) spareDue(now time.Time) bool {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	return !now.Before(u.spareAt)
+	return !now.Before(u.nextSpareAt)
 }
 
-// count adds requests that are sent, and returns how many the others are to be told of now.
-func (u *sending) count(now time.Time, n float64, pause time.Duration) float64 {
+// takeUnreported adds n requests, and returns how many to broadcast now.
+func (u *sender) takeUnreported(now time.Time, n float64, interval time.Duration) float64 {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	u.untold += n
-	if u.untold == 0 || now.Sub(u.toldAt) < pause {
+	u.unreported += n
+	if u.unreported == 0 || now.Sub(u.reportedAt) < interval {
 		return 0
 	}
-	n, u.untold, u.toldAt = u.untold, 0, now
+	n, u.unreported, u.reportedAt = u.unreported, 0, now
 	return n
 }
 
-// count tells the others of requests that are sent to a runner.
-func (r *Limits) count(runner string, l *limit, n float64, pause time.Duration) {
-	if n = l.own.count(r.clock.Now(), n, pause); n != 0 && !r.pool.alone {
-		r.tell(Word{Runner: runner, Sent: n})
+// reportSent counts requests sent to a runner, and broadcasts the count when due.
+func (r *Limits) reportSent(runner string, l *limit, n float64, interval time.Duration) {
+	if n = l.sender.takeUnreported(r.clock.Now(), n, interval); n != 0 && !r.pool.evenParts {
+		r.broadcast(Word{Runner: runner, Sent: n})
 	}
 }
 
-// sparePause is the time between two requests that another runner could serve: those of all
-// daemons in touch together keep within the rate.
-func (r *Limits) sparePause(perSecond float64) time.Duration {
+// spareInterval returns the time between two requests that another runner could serve. It is
+// chosen so that all reachable daemons together stay within the rate.
+func (r *Limits) spareInterval(perSecond float64) time.Duration {
 	f := r.pool.fleet.Load()
-	return time.Duration((0.5 + rand.Float64()) * float64(max(1, f.heard)) / perSecond * float64(time.Second))
+	return time.Duration((0.5 + rand.Float64()) * float64(max(1, f.reachable)) / perSecond * float64(time.Second))
 }
 
-// bySettings is the source of rates that the settings allow, which all daemons know.
-const bySettings = "settings"
+// settingsSource is the source of the rates in the settings, which all daemons have.
+const settingsSource = "settings"
 
-// refreshEvery is how often a rate of the settings is taken in again.
-const refreshEvery = limitMemory / 4
+// settingsRefreshInterval is how often a rate of the settings is stored again, so that it does
+// not expire.
+const settingsRefreshInterval = limitTTL / 4
 
-// TakeSetting lets a request in by the rate that a node of the settings allows, or says when
-// it may come back.
+// TakeSetting admits a request under the rate that a node of the settings allows, or refuses
+// it with a retry time.
 func (r *Limits) TakeSetting(node string, perSecond float64) core.Admission {
-	name := bySettings + " " + node
-	if l := r.limitOf(name); l == nil || l.rate != perSecond || r.clock.Since(l.at) >= refreshEvery {
+	name := settingsSource + " " + node
+	if l := r.limitOf(name); l == nil || l.rate != perSecond || r.clock.Since(l.declaredAt) >= settingsRefreshInterval {
 		r.mu.Lock()
-		r.set(name, perSecond, bySettings)
+		r.set(name, perSecond, settingsSource)
 		r.mu.Unlock()
 	}
 	return r.Take(name, 0)
 }
 
-// Take lets a request of a rank, 0 the most urgent, through to a runner, or says when it
-// may come back.
+// Take admits a request to a runner, or refuses it with a retry time. Rank 0 is the most
+// urgent.
 func (r *Limits) Take(runner string, rank int) core.Admission {
 	l := r.limitOf(runner)
 	if l == nil {
@@ -362,7 +365,7 @@
 	size := float64(1 + rank)
 	a := r.pool.take(l.bucket, 1, size*size)
 	if a.OK {
-		r.count(runner, l, 1, countEvery)
+		r.reportSent(runner, l, 1, sentInterval)
 	}
 	return a
 }
@@ -373,16 +376,16 @@
 	if l == nil {
 		return core.Admission{OK: true}
 	}
-	l.own.mu.Lock()
-	l.own.spareAt = r.clock.Now().Add(r.sparePause(max(leastRate, l.rate)))
-	l.own.mu.Unlock()
+	l.sender.mu.Lock()
+	l.sender.nextSpareAt = r.clock.Now().Add(r.spareInterval(max(minRate, l.rate)))
+	l.sender.mu.Unlock()
 	return r.Take(runner, rank)
 }
 
-// Charge counts what arrives at a runner without having been let through.
+// Charge counts a request that arrives at a runner without having been admitted.
 func (r *Limits) Charge(runner string) { r.spend(runner, 1) }
 
-// Give counts back a request that was let through and does not arrive.
+// Give returns a request that was admitted and does not arrive.
 func (r *Limits) Give(runner string) { r.spend(runner, -1) }
 
 func (r *Limits) spend(runner string, n float64) {
@@ -393,45 +396,45 @@
 	l.bucket.mu.Lock()
 	l.bucket.spend(r.clock.Now(), n)
 	l.bucket.mu.Unlock()
-	r.count(runner, l, n, countEvery)
+	r.reportSent(runner, l, n, sentInterval)
 }
 
-// Forget drops what is known of a runner that is gone, or has started again.
+// Forget drops the limit of a runner that is gone or has started again.
 func (r *Limits) Forget(runner string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.unset(runner, "")
+	r.remove(runner, "")
 }
 
-// Usage is what this daemon tells the others of limited runners, see Pool.Usage.
+// Usage returns the report on limited runners for the peers, see Pool.Usage.
 func (r *Limits) Usage() map[core.Code]core.Usage { return r.pool.Usage() }
 
-// Heard takes in what the others in touch tell, see Pool.Heard.
-func (r *Limits) Heard(heard, known int, others map[core.Code]core.Usage) {
-	r.pool.Heard(heard, known, others)
+// Heard applies the reports of the reachable peers, see Pool.Heard.
+func (r *Limits) Heard(reachable, known int, usage map[core.Code]core.Usage) {
+	r.pool.Heard(reachable, known, usage)
 	r.flush()
 }
 
-// flush tells the others of all requests that they have not been told of.
+// flush broadcasts all requests that have not been broadcast yet.
 func (r *Limits) flush() {
 	for runner, l := range *r.limits.Load() {
-		r.count(runner, l, 0, 0)
+		r.reportSent(runner, l, 0, 0)
 	}
 }
 
-// LimitState is what a daemon knows of a limited runner.
+// LimitState is a daemon's view of a limited runner.
 type LimitState struct {
 	State
 	Limit
 }
 
-// States tells of all limited runners.
+// States returns the state of every limited runner.
 func (r *Limits) States() []LimitState {
 	now := r.clock.Now()
 	var out []LimitState
 	for runner, l := range *r.limits.Load() {
-		if named, ok := r.Limit(runner); ok {
-			out = append(out, LimitState{State: l.bucket.state(now), Limit: named})
+		if declared, ok := r.Limit(runner); ok {
+			out = append(out, LimitState{State: l.bucket.state(now), Limit: declared})
 		}
 	}
 	return out
--- a/coordination/allowance/limits_sim_test.go
+++ b/coordination/allowance/limits_sim_test.go
@@ -12,57 +12,57 @@
 )
 
 const (
-	limited = "i-1"
-	// limitedSpan is over which arrivals at a limited runner are counted, limitedSettle the
-	// time from its first naming a limit until they are.
-	limitedSpan   = 4 * time.Second
-	limitedSettle = 3 * time.Second
-	// wordLag is how old a message on a limit is when it arrives.
-	wordLag = 60 * time.Millisecond
+	limitedRunner = "i-1"
+	// arrivalWindow is the window in which arrivals at a limited runner are counted. They are
+	// checked limitSettle after the runner first declares a limit.
+	arrivalWindow = 4 * time.Second
+	limitSettle   = 3 * time.Second
+	// updateLag is the delay of an update on a limit.
+	updateLag = 60 * time.Millisecond
 )
 
-// limitSim is a fleet that sends to one runner, which names a limit.
+// limitSim is a fleet that sends to one runner, which declares a limit.
 type limitSim struct {
 	*sim
-	opts  []Option
-	rate  float64 // that the runner names; below 0: none
-	load  float64 // requests a second that no other runner can serve
-	where func(at time.Duration, n int) int
-	limit []*Limits
-	sent  []time.Duration // arrivals
-	asked int
-	words []lateWord
+	opts      []Option
+	rate      float64 // declared by the runner; below 0: none
+	load      float64 // requests per second that no other runner can serve
+	daemonFor func(at time.Duration, n int) int
+	limits    []*Limits
+	arrivals  []time.Duration // times of the arrivals at the runner
+	requests  int
+	updates   []delayedUpdate
 }
 
-// lateWord is a message on its way.
-type lateWord struct {
-	at   time.Duration
-	from int
-	word Word
+// delayedUpdate is an update in transit.
+type delayedUpdate struct {
+	at     time.Duration
+	from   int
+	update Word
 }
 
 func newLimitSim(seed int64, daemons int, rate, load float64, opts ...Option) *limitSim {
 	s := &limitSim{sim: newSim(seed, daemons, nil), rate: rate, load: load, opts: opts}
-	s.where = func(_ time.Duration, n int) int { return s.rand.Intn(n) }
-	s.limit = make([]*Limits, daemons)
+	s.daemonFor = func(_ time.Duration, n int) int { return s.rand.Intn(n) }
+	s.limits = make([]*Limits, daemons)
 	for i := range s.nodes {
 		s.startNode(i)
 	}
 	return s
 }
 
-// startNode starts a daemon, which knows nothing.
+// startNode starts a daemon without any state.
 func (s *limitSim) startNode(i int) {
-	pool := append([]Option{WithDraw(s.rand.Float64)}, s.opts...)
-	s.limit[i] = NewLimits(s.clock, zap.NewNop(), WithPool(pool...), WithTell(func(w Word) {
-		s.words = append(s.words, lateWord{s.now() + wordLag, i, w})
+	pool := append([]Option{WithRandom(s.rand.Float64)}, s.opts...)
+	s.limits[i] = NewLimits(s.clock, zap.NewNop(), WithPool(pool...), WithTell(func(w Word) {
+		s.updates = append(s.updates, delayedUpdate{s.now() + updateLag, i, w})
 	}))
 	n := s.nodes[i]
-	n.pool, n.up, n.words = s.limit[i].pool, true, nil
+	n.pool, n.up, n.reports = s.limits[i].pool, true, nil
 }
 
-// info is what the runner's answers say.
-func (s *limitSim) info() core.ReplyInfo {
+// answerInfo returns what the runner's answers declare.
+func (s *limitSim) answerInfo() core.ReplyInfo {
 	out := core.ReplyInfo{Stamped: true}
 	if s.rate >= 0 {
 		out.Limit = core.RateLimit{Named: true, Rate: s.rate}
@@ -70,66 +70,66 @@
 	return out
 }
 
-// play lets time pass; each is called at each moment.
-func (s *limitSim) play(long time.Duration, each func(at time.Duration)) {
-	s.run(long, func(at time.Duration) {
-		if each != nil {
-			each(at)
+// runLimited advances the time; onStep is called at each step.
+func (s *limitSim) runLimited(duration time.Duration, onStep func(at time.Duration)) {
+	s.run(duration, func(at time.Duration) {
+		if onStep != nil {
+			onStep(at)
 		}
-		if at%turn == 0 {
+		if at%reportInterval == 0 {
 			for i, n := range s.nodes {
 				if n.up {
-					s.limit[i].flush()
+					s.limits[i].flush()
 				}
 			}
 		}
 		s.deliver(at)
-		for want := s.load * step.Seconds(); want > 0; want-- {
-			if want < 1 && s.rand.Float64() >= want {
+		for due := s.load * step.Seconds(); due > 0; due-- {
+			if due < 1 && s.rand.Float64() >= due {
 				break
 			}
-			s.send(at, s.where(at, len(s.nodes)))
+			s.send(at, s.daemonFor(at, len(s.nodes)))
 		}
 	})
 }
 
-// deliver brings the messages that have arrived to those of the same part.
+// deliver passes the updates that are due to the daemons in the same partition.
 func (s *limitSim) deliver(at time.Duration) {
-	rest := s.words
-	s.words = nil
+	rest := s.updates
+	s.updates = nil
 	for _, w := range rest {
 		if w.at > at {
-			s.words = append(s.words, w)
+			s.updates = append(s.updates, w)
 			continue
 		}
 		for i, n := range s.nodes {
-			if i != w.from && n.up && s.part(i) == s.part(w.from) {
-				s.limit[i].Told(fmt.Sprint(w.from), w.word)
+			if i != w.from && n.up && s.partitionOf(i) == s.partitionOf(w.from) {
+				s.limits[i].Told(fmt.Sprint(w.from), w.update)
 			}
 		}
 	}
 }
 
-// send has a caller of a daemon ask for the runner.
+// send sends a request for the runner to a daemon.
 func (s *limitSim) send(at time.Duration, i int) {
-	s.asked++
-	if !s.nodes[i].up || !s.limit[i].Take(limited, 0).OK {
+	s.requests++
+	if !s.nodes[i].up || !s.limits[i].Take(limitedRunner, 0).OK {
 		return
 	}
-	s.sent = append(s.sent, at)
-	s.limit[i].Answered(limited, s.info())
+	s.arrivals = append(s.arrivals, at)
+	s.limits[i].Answered(limitedRunner, s.answerInfo())
 }
 
-// mostFrom is the most that arrived within limitedSpan from a time on, and count how many
-// did in all.
-func (s *limitSim) mostFrom(from time.Duration) (most, count int) {
+// peakArrivals returns the most arrivals within any arrivalWindow from the given time on, and
+// the count of all arrivals since.
+func (s *limitSim) peakArrivals(from time.Duration) (most, count int) {
 	first := 0
-	for i, at := range s.sent {
+	for i, at := range s.arrivals {
 		if at < from {
 			first = i + 1
 			continue
 		}
-		for at-s.sent[first] >= limitedSpan {
+		for at-s.arrivals[first] >= arrivalWindow {
 			first++
 		}
 		count++
@@ -138,13 +138,14 @@
 	return most, count
 }
 
-// ruleOf is the most that may arrive within limitedSpan at a runner that names a rate.
-func ruleOf(rate float64) float64 { return 1.5*rate*limitedSpan.Seconds() + 5 }
+// maxArrivals returns the most arrivals within arrivalWindow that the rule allows for a
+// declared rate.
+func maxArrivals(rate float64) float64 { return 1.5*rate*arrivalWindow.Seconds() + 5 }
 
-// callers are daemons that callers come to.
-var callers = []struct {
-	name  string
-	where func(s *limitSim) func(at time.Duration, n int) int
+// callerPatterns are the ways in which callers choose daemons.
+var callerPatterns = []struct {
+	name      string
+	daemonFor func(s *limitSim) func(at time.Duration, n int) int
 }{
 	{"any daemon", func(s *limitSim) func(time.Duration, int) int {
 		return func(_ time.Duration, n int) int { return s.rand.Intn(n) }
@@ -152,43 +153,44 @@
 	{"one daemon", func(*limitSim) func(time.Duration, int) int {
 		return func(time.Duration, int) int { return 0 }
 	}},
-	{"two daemons, others every two seconds", func(s *limitSim) func(time.Duration, int) int {
+	{"two daemons, a new pair every two seconds", func(s *limitSim) func(time.Duration, int) int {
 		return func(at time.Duration, n int) int { return (2*int(at/(2*time.Second)) + s.rand.Intn(2)) % n }
 	}},
 }
 
-// A limited runner gets more from all daemons together than it has named, or is left idle
-// because its part of the limit lies with daemons that no caller comes to.
+// Guards against a limited runner that gets more requests from all daemons together than it
+// has declared, or that is left idle because part of the limit belongs to daemons without
+// callers.
 func TestLimitIsKeptAndUsed(t *testing.T) {
-	const long = 30 * time.Second
+	const duration = 30 * time.Second
 	for _, daemons := range []int{3, 8, 20, 100, 300} {
 		for _, rate := range []float64{0.5, 2, 6, 30} {
 			if daemons > 20 && rate != 6 {
 				continue
 			}
-			for _, from := range callers {
-				for _, times := range []float64{0.5, 2, 10} {
-					t.Run(fmt.Sprintf("%d daemons, %v a second, %s, asked %v times", daemons, rate, from.name, times), func(t *testing.T) {
-						row := func(opts ...Option) (most, count int, due float64) {
-							s := newLimitSim(1, daemons, -1, times*rate, opts...)
-							s.where = from.where(s)
-							s.play(settle, nil)
+			for _, callers := range callerPatterns {
+				for _, demand := range []float64{0.5, 2, 10} {
+					t.Run(fmt.Sprintf("%d daemons, limit %v per second, callers at %s, demand %v times the limit", daemons, rate, callers.name, demand), func(t *testing.T) {
+						measure := func(opts ...Option) (most, count int, due float64) {
+							s := newLimitSim(1, daemons, -1, demand*rate, opts...)
+							s.daemonFor = callers.daemonFor(s)
+							s.runLimited(settleTime, nil)
 							s.rate = rate
-							began := s.now()
-							s.play(limitedSettle, nil)
-							s.asked = 0
-							s.play(long, nil)
-							most, count = s.mostFrom(began + limitedSettle)
-							return most, count, min(float64(s.asked), rate*long.Seconds())
+							declared := s.now()
+							s.runLimited(limitSettle, nil)
+							s.requests = 0
+							s.runLimited(duration, nil)
+							most, count = s.peakArrivals(declared + limitSettle)
+							return most, count, min(float64(s.requests), rate*duration.Seconds())
 						}
-						most, count, due := row()
-						partMost, partCount, partDue := row(WithEvenParts())
-						bound := ruleOf(rate)
-						t.Logf("most in 4 s, share of the rule's: %.2f (even parts %.2f); share of the limit used: %.2f (even parts %.2f)",
+						most, count, due := measure()
+						partMost, partCount, partDue := measure(WithEvenParts())
+						bound := maxArrivals(rate)
+						t.Logf("peak in 4 s relative to the rule: %.2f (even parts %.2f); used part of the limit: %.2f (even parts %.2f)",
 							float64(most)/bound, float64(partMost)/bound, float64(count)/due, float64(partCount)/partDue)
 						assert.Assert(t, float64(most) <= bound, "%d arrivals", most)
-						assert.Assert(t, float64(count) <= rate*long.Seconds()+rateOfRunner(limited, rate).depth+1, "%d arrivals in %v", count, long)
-						assert.Assert(t, float64(count) >= 0.8*due-2, "%d arrivals of %.0f", count, due)
+						assert.Assert(t, float64(count) <= rate*duration.Seconds()+runnerParams(limitedRunner, rate).depth+1, "%d arrivals in %v", count, duration)
+						assert.Assert(t, float64(count) >= 0.8*due-2, "%d arrivals, %.0f due", count, due)
 					})
 				}
 			}
@@ -196,26 +198,26 @@
 	}
 }
 
-// All other runners end or fill up at once, and each daemon lets through what the limit has
-// left before it hears of the others.
-func TestSurgeAtALimitedRunner(t *testing.T) {
+// All other runners exit or fill up at once, so that each daemon admits the whole rest of the
+// bucket before it receives the peers' reports.
+func TestSurgeAtLimitedRunner(t *testing.T) {
 	for _, daemons := range []int{2, 8, 20} {
 		for _, rate := range []float64{0.5, 2, 6, 30} {
-			t.Run(fmt.Sprintf("%d daemons, %v a second", daemons, rate), func(t *testing.T) {
+			t.Run(fmt.Sprintf("%d daemons, limit %v per second", daemons, rate), func(t *testing.T) {
 				worst, sum := 0.0, 0
-				const seeds, long = 5, 8 * time.Second
+				const seeds, duration = 5, 8 * time.Second
 				for seed := range int64(seeds) {
 					s := newLimitSim(seed, daemons, rate, rate/2)
-					s.play(settle+limitedSettle, nil)
+					s.runLimited(settleTime+limitSettle, nil)
 					from := s.now()
 					s.load = 16 * rate
-					s.play(long, nil)
-					most, count := s.mostFrom(from - limitedSpan)
-					worst = max(worst, float64(most)/ruleOf(rate))
+					s.runLimited(duration, nil)
+					most, count := s.peakArrivals(from - arrivalWindow)
+					worst = max(worst, float64(most)/maxArrivals(rate))
 					sum += count
 				}
-				t.Logf("most in 4 s, share of the rule's: %.2f; used %.2f", worst, float64(sum)/(rate*seeds*(long+limitedSpan).Seconds()))
-				assert.Assert(t, worst <= 1, "%.2f of the rule's", worst)
+				t.Logf("peak in 4 s relative to the rule: %.2f; used part of the limit: %.2f", worst, float64(sum)/(rate*seeds*(duration+arrivalWindow).Seconds()))
+				assert.Assert(t, worst <= 1, "peak is %.2f of what the rule allows", worst)
 			})
 		}
 	}
--- a/coordination/allowance/limits_test.go
+++ b/coordination/allowance/limits_test.go
@@ -13,68 +13,69 @@
 	"primroseward/core"
 )
 
-// Cuts, kills, starts, surges and changes of the limit in any order bring more to a runner
-// than it has named, or keep a limit that has ended.
+// Checks that partitions, kills, starts, surges and changes of the limit, in any order,
+// neither bring more requests to a runner than it has declared nor preserve a limit that has
+// ended.
 func TestLimitHoldsWhateverHappens(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		daemons := rapid.IntRange(2, 24).Draw(t, "daemons")
 		s := newLimitSim(rapid.Int64().Draw(t, "seed"), daemons, 6, 20)
-		s.play(settle, nil)
-		binds := s.now() + limitedSettle
+		s.runLimited(settleTime, nil)
+		checkFrom := s.now() + limitSettle
 		for range rapid.IntRange(1, 12).Draw(t, "events") {
 			i := rapid.IntRange(0, daemons-1).Draw(t, "daemon")
-			switch rapid.SampledFrom([]string{"surge", "calm", "cut", "heal", "kill", "start", "limit", "none"}).Draw(t, "event") {
+			switch rapid.SampledFrom([]string{"surge", "usual load", "partition", "heal", "kill", "start", "limit", "end of limit"}).Draw(t, "event") {
 			case "surge":
 				s.load = 100
-			case "calm":
+			case "usual load":
 				s.load = 3
-			case "cut":
+			case "partition":
 				parts := rapid.IntRange(2, 4).Draw(t, "parts")
 				s.split(func(i int) int { return i % parts })
 			case "heal":
 				s.split(func(int) int { return 0 })
 			case "kill":
-				s.nodes[i].up, s.nodes[i].down = false, s.clock.Now()
+				s.nodes[i].up, s.nodes[i].downSince = false, s.clock.Now()
 			case "start":
-				if !s.nodes[i].up && s.clock.Since(s.nodes[i].down) >= away {
+				if !s.nodes[i].up && s.clock.Since(s.nodes[i].downSince) >= minDowntime {
 					s.startNode(i)
 				}
 			case "limit":
 				s.rate = rapid.SampledFrom([]float64{0, 0.1, 0.5, 2, 6, 30}).Draw(t, "rate")
-				s.sent, binds = nil, s.now()+limitedSettle
-			case "none":
+				s.arrivals, checkFrom = nil, s.now()+limitSettle
+			case "end of limit":
 				s.rate = -1
 			}
-			s.play(time.Duration(rapid.IntRange(1, 40).Draw(t, "pause"))*turn, nil)
+			s.runLimited(time.Duration(rapid.IntRange(1, 40).Draw(t, "pause"))*reportInterval, nil)
 			if s.rate < 0 {
 				continue
 			}
-			most, _ := s.mostFrom(binds)
-			assert.Assert(t, float64(most) <= ruleOf(s.rate), "%d arrivals, limit %v", most, s.rate)
+			most, _ := s.peakArrivals(checkFrom)
+			assert.Assert(t, float64(most) <= maxArrivals(s.rate), "%d arrivals, limit %v", most, s.rate)
 		}
 		s.split(func(int) int { return 0 })
 		s.rate, s.load = -1, 100
-		s.play(20*time.Second, nil)
+		s.runLimited(20*time.Second, nil)
 		for i, n := range s.nodes {
-			_, ok := s.limit[i].Limit(limited)
-			assert.Assert(t, !ok || !n.up, "daemon %d still holds the limit", i)
+			_, ok := s.limits[i].Limit(limitedRunner)
+			assert.Assert(t, !ok || !n.up, "daemon %d still has the limit", i)
 		}
 	})
 }
 
-// alone returns one daemon's Limits, which are all that send.
-func alone(clock core.Clock, opts ...LimitsOption) *Limits {
+// newSoleLimits returns the Limits of a daemon that is the only one.
+func newSoleLimits(clock core.Clock, opts ...LimitsOption) *Limits {
 	r := NewLimits(clock, zap.NewNop(), opts...)
 	r.Heard(1, 1, nil)
 	return r
 }
 
-func named(rate float64) core.ReplyInfo {
+func answerWithLimit(rate float64) core.ReplyInfo {
 	return core.ReplyInfo{Stamped: true, Limit: core.RateLimit{Named: true, Rate: rate}}
 }
 
-// A limit is kept after the runner has stopped naming it, or is dropped by an answer that
-// does not tell.
+// Guards against a limit that stays in force after the runner has stopped declaring it, or
+// that is dropped by an answer from which its end does not follow.
 func TestLimitFollowsAnswers(t *testing.T) {
 	const other = "i-2"
 	for _, tt := range []struct {
@@ -83,26 +84,26 @@
 		want float64 // below 0: no limit
 	}{
 		{"named", func(*Limits) {}, 2},
-		{"lower", func(r *Limits) { r.Answered(limited, named(0.5)) }, 0.5},
-		{"higher", func(r *Limits) { r.Answered(limited, named(9)) }, 9},
-		{"none any more", func(r *Limits) { r.Answered(limited, core.ReplyInfo{Stamped: true}) }, -1},
-		{"rejection without one", func(r *Limits) { r.Answered(limited, core.ReplyInfo{NotRun: true}) }, 2},
-		{"rejection with one", func(r *Limits) {
-			r.Answered(limited, core.ReplyInfo{NotRun: true, Limit: core.RateLimit{Named: true, Rate: 1}})
+		{"lower", func(r *Limits) { r.Answered(limitedRunner, answerWithLimit(0.5)) }, 0.5},
+		{"higher", func(r *Limits) { r.Answered(limitedRunner, answerWithLimit(9)) }, 9},
+		{"no limit any more", func(r *Limits) { r.Answered(limitedRunner, core.ReplyInfo{Stamped: true}) }, -1},
+		{"rejection without a limit", func(r *Limits) { r.Answered(limitedRunner, core.ReplyInfo{NotRun: true}) }, 2},
+		{"rejection with a limit", func(r *Limits) {
+			r.Answered(limitedRunner, core.ReplyInfo{NotRun: true, Limit: core.RateLimit{Named: true, Rate: 1}})
 		}, 1},
 		{"answer of another runner", func(r *Limits) { r.Answered(other, core.ReplyInfo{Stamped: true}) }, 2},
 		{"unreadable", func(r *Limits) {
-			r.Answered(limited, core.ReplyInfo{Stamped: true, Limit: core.RateLimit{Problem: "empty"}})
+			r.Answered(limitedRunner, core.ReplyInfo{Stamped: true, Limit: core.RateLimit{Problem: "empty"}})
 		}, -1},
-		{"another daemon tells a lower one", func(r *Limits) { r.Told("b", Word{Runner: limited, Limited: true, Rate: 1}) }, 1},
-		{"another daemon tells that it has ended", func(r *Limits) { r.Told("b", Word{Runner: limited}) }, -1},
-		{"started again, or its address given away", func(r *Limits) { r.Forget(limited) }, -1},
+		{"peer broadcasts a lower limit", func(r *Limits) { r.Told("b", Word{Runner: limitedRunner, Limited: true, Rate: 1}) }, 1},
+		{"peer broadcasts the end of the limit", func(r *Limits) { r.Told("b", Word{Runner: limitedRunner}) }, -1},
+		{"restarted, or its address reassigned", func(r *Limits) { r.Forget(limitedRunner) }, -1},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
-			r := alone(clockwork.NewFakeClock())
-			r.Answered(limited, named(2))
+			r := newSoleLimits(clockwork.NewFakeClock())
+			r.Answered(limitedRunner, answerWithLimit(2))
 			tt.do(r)
-			got, ok := r.Limit(limited)
+			got, ok := r.Limit(limitedRunner)
 			assert.Equal(t, ok, tt.want >= 0)
 			assert.Assert(t, !ok || got.Rate == tt.want, "%v", got.Rate)
 			_, ok = r.Limit(other)
@@ -111,81 +112,82 @@
 	}
 }
 
-// A runner that names next to nothing gets nothing at all, so that nobody learns when its
-// limit has ended.
-func TestLowLimitsAreTriedNowAndThen(t *testing.T) {
+// Guards against a runner that declares a very low limit and gets no requests at all, so that
+// the end of the limit is never noticed.
+func TestLowLimitIsStillProbed(t *testing.T) {
 	for _, rate := range []float64{0, 0.1, 0.5} {
 		t.Run(fmt.Sprint(rate), func(t *testing.T) {
 			clock := clockwork.NewFakeClock()
-			r := alone(clock)
-			r.Answered(limited, named(rate))
-			let := 0
+			r := newSoleLimits(clock)
+			r.Answered(limitedRunner, answerWithLimit(rate))
+			admitted := 0
 			for range 20 * 10 {
 				clock.Advance(100 * time.Millisecond)
-				if r.Take(limited, 0).OK {
-					let++
+				if r.Take(limitedRunner, 0).OK {
+					admitted++
 				}
 			}
-			assert.Assert(t, let >= 2 && let <= 14, "%d in 20 s", let)
+			assert.Assert(t, admitted >= 2 && admitted <= 14, "%d admitted in 20 s", admitted)
 		})
 	}
 }
 
-// Urgent requests are refused as often as others while a runner takes few.
+// Guards against refusing urgent requests as often as others while a runner accepts few.
 func TestUrgentRequestsGoFirst(t *testing.T) {
 	clock := clockwork.NewFakeClock()
-	r := alone(clock)
-	r.Answered(limited, named(4))
-	let := [2]int{}
+	r := newSoleLimits(clock)
+	r.Answered(limitedRunner, answerWithLimit(4))
+	admitted := [2]int{}
 	for range 600 {
 		clock.Advance(50 * time.Millisecond)
-		for rank := range let {
-			if a := r.Take(limited, rank); a.OK {
-				let[rank]++
+		for rank := range admitted {
+			if a := r.Take(limitedRunner, rank); a.OK {
+				admitted[rank]++
 			} else {
-				assert.Assert(t, a.Retry >= leastRetry && a.Retry <= 2*mostRetry)
+				assert.Assert(t, a.Retry >= minRetry && a.Retry <= 2*maxRetry)
 			}
 		}
 	}
-	assert.Assert(t, let[0] > 2*let[1], "%v", let)
-	assert.Assert(t, let[0]+let[1] >= 96 && let[0]+let[1] <= 126, "%v in 30 s of 4 a second", let)
+	assert.Assert(t, admitted[0] > 2*admitted[1], "%v", admitted)
+	assert.Assert(t, admitted[0]+admitted[1] >= 96 && admitted[0]+admitted[1] <= 126, "%v admitted in 30 s at 4 per second", admitted)
 }
 
-// Requests that other runners could serve use up a limit that some can't do without.
-func TestSpareRequestsLeaveRoom(t *testing.T) {
+// Guards against requests that other runners could serve using up a limit that other requests
+// depend on.
+func TestSpareRequestsLeaveCapacity(t *testing.T) {
 	clock := clockwork.NewFakeClock()
-	r := alone(clock)
-	r.Answered(limited, named(2))
-	spare := 0
+	r := newSoleLimits(clock)
+	r.Answered(limitedRunner, answerWithLimit(2))
+	admitted := 0
 	for range 400 {
 		clock.Advance(50 * time.Millisecond)
-		if l, _ := r.Limit(limited); l.Spare && r.TakeSpare(limited, 0).OK {
-			spare++
+		if l, _ := r.Limit(limitedRunner); l.Spare && r.TakeSpare(limitedRunner, 0).OK {
+			admitted++
 		}
 	}
-	assert.Assert(t, spare >= 10 && spare <= 42, "%d in 20 s of 2 a second", spare)
+	assert.Assert(t, admitted >= 10 && admitted <= 42, "%d admitted in 20 s at 2 per second", admitted)
 }
 
-// A daemon tells all others of each answer of a limited runner.
-func TestLimitsAreToldSparingly(t *testing.T) {
+// Guards against a broadcast for each answer of a limited runner.
+func TestLimitBroadcastsAreBounded(t *testing.T) {
 	clock := clockwork.NewFakeClock()
-	var told []Word
-	r := alone(clock, WithTell(func(w Word) { told = append(told, w) }))
+	var updates []Word
+	r := newSoleLimits(clock, WithTell(func(w Word) { updates = append(updates, w) }))
 	for i := range 100 { // over 2 s
-		r.Answered(limited, named(float64(2+i%2)))
+		r.Answered(limitedRunner, answerWithLimit(float64(2+i%2)))
 		clock.Advance(20 * time.Millisecond)
 	}
-	assert.Assert(t, len(told) >= 2 && len(told) <= 11, "%d", len(told))
-	r.Answered(limited, core.ReplyInfo{Stamped: true})
-	assert.Equal(t, told[len(told)-1], Word{Runner: limited})
+	assert.Assert(t, len(updates) >= 2 && len(updates) <= 11, "%d", len(updates))
+	r.Answered(limitedRunner, core.ReplyInfo{Stamped: true})
+	assert.Equal(t, updates[len(updates)-1], Word{Runner: limitedRunner})
 }
 
-// BenchmarkLimit is what limits cost a request: to a runner without one while there are
-// others with one, and to a limited one.
+// BenchmarkLimit measures what limits cost per request, for a runner without a limit while
+// another one has one, and for a limited runner.
 func BenchmarkLimit(b *testing.B) {
-	r := alone(clockwork.NewRealClock())
-	r.Answered(limited, named(1e5))
-	for _, id := range []string{"i-2", limited} {
+	r := newSoleLimits(clockwork.NewRealClock())
+	r.Answered(limitedRunner, answerWithLimit(1e5))
+	for _, id := range []string{"i-2", limitedRunner} {
 		b.Run(id, func(b *testing.B) {
 			b.ReportAllocs()
 			b.RunParallel(func(pb *testing.PB) {
@@ -199,19 +201,19 @@
 	}
 }
 
-// A rate of the settings is divided evenly among the daemons, though callers come to few of
-// them.
+// Guards against dividing a rate of the settings evenly among the daemons when callers use few
+// of them.
 func TestSettingsRateIsSharedByUse(t *testing.T) {
 	const rate, daemons = 20.0, 8
 	s := newLimitSim(1, daemons, -1, 0)
-	s.play(settle, nil)
-	let := 0
-	s.play(20*time.Second, func(time.Duration) {
-		for range 2 { // 100 a second, all at one daemon
-			if s.limit[0].TakeSetting("/service/s", rate).OK {
-				let++
+	s.runLimited(settleTime, nil)
+	admitted := 0
+	s.runLimited(20*time.Second, func(time.Duration) {
+		for range 2 { // 100 per second, all at one daemon
+			if s.limits[0].TakeSetting("/service/s", rate).OK {
+				admitted++
 			}
 		}
 	})
-	assert.Assert(t, let >= 300 && let <= 430, "%d in 20 s at 20 a second", let)
+	assert.Assert(t, admitted >= 300 && admitted <= 430, "%d admitted in 20 s at 20 per second", admitted)
 }
--- a/coordination/allowance/model_test.go
+++ b/coordination/allowance/model_test.go
@@ -11,65 +11,64 @@
 	"primroseward/core"
 )
 
-// surge is how many times its rate a workspace asks for at most: seven and a half times
-// what it uses as a rule.
-const surge = 7.5 * usual
+// maxSurge is the highest demand of a workspace in terms of its rate: 7.5 times its usual use.
+const maxSurge = 7.5 * usual
 
-// model is a fleet under events of any kind in any order.
+// model is a fleet under random events.
 type model struct {
-	s      *sim
-	u      *user
-	at     time.Duration // when the limit last fell: the rule binds a window later
-	bounds float64       // the rate that the rule goes by
+	sim       *sim
+	workspace *simWorkspace
+	changedAt time.Duration // when the allowance last changed: the rule applies to windows that begin later
+	rate      float64       // the rate that the rule applies to
 }
 
-// Cuts, kills, starts, surges and changes of the limit in any order bring a workspace above
-// its allowance over all daemons.
+// Checks that partitions, kills, starts, surges and changes of the allowance, in any order, do
+// not bring a workspace above its allowance over all daemons.
 func TestAllowanceHoldsWhateverHappens(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		daemons := rapid.IntRange(2, 24).Draw(t, "daemons")
 		rate := rapid.SampledFrom([]float64{1900, 20e3, 270e3}).Draw(t, "rate")
 		load := usual * rate
-		u := owner("w", rate, func(time.Duration) float64 { return load })
-		m := &model{s: newSim(rapid.Int64().Draw(t, "seed"), daemons, []*user{u}), u: u, bounds: rate}
+		u := newWorkspace("w", rate, func(time.Duration) float64 { return load })
+		m := &model{sim: newSim(rapid.Int64().Draw(t, "seed"), daemons, []*simWorkspace{u}), workspace: u, rate: rate}
 		if rapid.Bool().Draw(t, "at one daemon") {
-			u.where = func(int) int { return 0 }
+			u.daemonFor = func(int) int { return 0 }
 		}
-		m.s.run(settle, nil)
+		m.sim.run(settleTime, nil)
 		for range rapid.IntRange(1, 12).Draw(t, "events") {
 			m.event(t, &load)
-			m.s.run(time.Duration(rapid.IntRange(1, 20).Draw(t, "pause"))*turn, nil)
+			m.sim.run(time.Duration(rapid.IntRange(1, 20).Draw(t, "pause"))*reportInterval, nil)
 			m.check(t)
 		}
 	})
 }
 
-// event does one thing to the fleet.
+// event applies one random event to the fleet.
 func (m *model) event(t *rapid.T, load *float64) {
-	s := m.s
+	s := m.sim
 	node := s.nodes[rapid.IntRange(0, len(s.nodes)-1).Draw(t, "daemon")]
-	switch rapid.SampledFrom([]string{"surge", "calm", "cut", "heal", "kill", "start", "limit"}).Draw(t, "event") {
+	switch rapid.SampledFrom([]string{"surge", "usual load", "partition", "heal", "kill", "start", "limit"}).Draw(t, "event") {
 	case "surge":
-		*load = m.u.Rate * rapid.Float64Range(1, surge).Draw(t, "times")
-	case "calm":
-		*load = usual * m.u.Rate
-	case "cut":
+		*load = m.workspace.Rate * rapid.Float64Range(1, maxSurge).Draw(t, "surge factor")
+	case "usual load":
+		*load = usual * m.workspace.Rate
+	case "partition":
 		parts := rapid.IntRange(2, 4).Draw(t, "parts")
 		s.split(func(i int) int { return i % parts })
 	case "heal":
 		s.split(func(int) int { return 0 })
 	case "kill":
-		node.up, node.down = false, s.clock.Now()
+		node.up, node.downSince = false, s.clock.Now()
 	case "start":
-		if !node.up && s.clock.Since(node.down) >= away {
+		if !node.up && s.clock.Since(node.downSince) >= minDowntime {
 			s.start(node)
 		}
 	case "limit":
-		w := *m.u.Workspace
-		w.Rate *= rapid.SampledFrom([]float64{0.5, 2}).Draw(t, "by")
+		w := *m.workspace.Workspace
+		w.Rate *= rapid.SampledFrom([]float64{0.5, 2}).Draw(t, "factor")
 		w.Burst = w.Rate
-		m.u.Workspace = &w
-		m.u.in, m.at, m.bounds = nil, s.now(), w.Rate
+		m.workspace.Workspace = &w
+		m.workspace.admitted, m.changedAt, m.rate = nil, s.now(), w.Rate
 		for _, n := range s.nodes {
 			if n.up {
 				s.configure(n)
@@ -78,17 +77,17 @@
 	}
 }
 
-// check checks all windows that begin once the present limit binds.
+// check checks all windows that begin after the last change of the allowance.
 func (m *model) check(t *rapid.T) {
-	assert.Assert(t, m.u.most() <= 1, "%.3f of what %v units a second allow", m.u.most(), m.bounds)
+	assert.Assert(t, m.workspace.peakRatio() <= 1, "%.3f of what the rule allows for %v units per second", m.workspace.peakRatio(), m.rate)
 }
 
-// BenchmarkTake is what the whole check of a request costs: the key, its workspace, and the
-// allowance.
+// BenchmarkTake measures the complete check of a request: the lookup of its key and workspace,
+// and the allowance.
 func BenchmarkTake(b *testing.B) {
 	config := &core.Config{Workspaces: []*core.Workspace{{Name: "w", Keys: []core.KeyID{core.KeyIDOf("key")}, Rate: 1e9, Burst: 1e9, Unit: core.UnitTokens}}}
 	config.Index()
-	p := New(clockwork.NewRealClock(), func() core.Window { return bounds })
+	p := New(clockwork.NewRealClock(), func() core.Window { return ruleWindow })
 	p.Configure(config.Workspaces)
 	p.Heard(71, 71, nil)
 	q := &core.Request{Input: 700, MaxOutput: 280, Counted: true}
--- a/coordination/allowance/sim_test.go
+++ b/coordination/allowance/sim_test.go
@@ -12,79 +12,79 @@
 )
 
 const (
-	// step is the time between two moments of a simulation, turn that between two words of a
-	// daemon, lag how old a word is when it arrives, silence after which a daemon that is not
-	// heard counts as silent.
-	step    = 20 * time.Millisecond
-	turn    = 200 * time.Millisecond
-	lag     = 300 * time.Millisecond
-	silence = 800 * time.Millisecond
-	// away is how long a process that has ended is away at least.
-	away = 300 * time.Millisecond
-	// settle is when callers come after the daemons have started.
-	settle = 3 * time.Second
+	// step is the time between two steps of a simulation, reportInterval between two reports
+	// of a daemon. reportLag is the delay of a report; silenceTimeout is the time after which
+	// a daemon without reports counts as silent.
+	step           = 20 * time.Millisecond
+	reportInterval = 200 * time.Millisecond
+	reportLag      = 300 * time.Millisecond
+	silenceTimeout = 800 * time.Millisecond
+	// minDowntime is the least time between the exit of a process and its next start.
+	minDowntime = 300 * time.Millisecond
+	// settleTime is the time from the start of the daemons to the first request.
+	settleTime = 3 * time.Second
 )
 
-var bounds = core.Window{Length: 8 * time.Second, Over: 0.1, Slack: 7400}
+var ruleWindow = core.Window{Length: 8 * time.Second, Over: 0.1, Slack: 7400}
 
-// sim is a fleet whose daemons share workspaces' allowances, in virtual time.
+// sim is a fleet whose daemons share the allowances of workspaces, in virtual time.
 type sim struct {
-	clock *clockwork.FakeClock
-	begin time.Time
-	rand  *rand.Rand
-	opts  []Option
-	nodes []*node
-	users []*user
-	part  func(i int) int // daemons of different parts hear nothing of each other
-	since time.Time       // when the parts last changed
+	clock       *clockwork.FakeClock
+	begin       time.Time
+	rand        *rand.Rand
+	opts        []Option
+	nodes       []*node
+	workspaces  []*simWorkspace
+	partitionOf func(i int) int // partition of a daemon; there are no messages between partitions
+	splitAt     time.Time       // when the partitions last changed
 }
 
 // node is one daemon.
 type node struct {
-	pool  *Pool
-	up    bool
-	down  time.Time // since when it is not up
-	words []word
-	last  usage // as it arrives now
-	cut   usage // as it arrived when the parts last changed
-	was   int   // its part then
+	pool             *Pool
+	up               bool
+	downSince        time.Time // since when it is not up
+	reports          []report
+	last             usage // as it arrives now
+	atSplit          usage // as it arrived when the partitions last changed
+	partitionAtSplit int   // its partition then
 }
 
 type usage map[core.Code]core.Usage
 
-// word is what a daemon told at a time.
-type word struct {
+// report is what a daemon reported at a time.
+type report struct {
 	at    time.Time
 	usage usage
 }
 
-// user is a workspace and its callers.
-type user struct {
+// simWorkspace is a workspace and its callers.
+type simWorkspace struct {
 	*core.Workspace
-	size  float64                        // of a request, in units, at most twice as much
-	load  func(at time.Duration) float64 // units a second that are asked for
-	where func(n int) int                // the daemon that a request comes to
-	in    []use
-	asked float64
-	owed  float64 // of what was asked, by a bucket that knows all
-	got   float64 // of what was owed, let in
-	left  float64 // in that bucket
-	at    time.Duration
+	size      float64                        // mean units of a request; the largest has less than twice as many
+	load      func(at time.Duration) float64 // demand in units per second
+	daemonFor func(n int) int                // index of the daemon that gets a request
+	admitted  []admission
+	demanded  float64
+	entitled  float64 // units that an ideal bucket with global knowledge would have admitted
+	granted   float64 // of these, the units that were admitted
+	idealLeft float64 // units left in the ideal bucket
+	idealAt   time.Duration
 }
 
-type use struct {
+type admission struct {
 	at    time.Duration
 	units float64
 }
 
-func newSim(seed int64, daemons int, users []*user, opts ...Option) *sim {
+func newSim(seed int64, daemons int, workspaces []*simWorkspace, opts ...Option) *sim {
 	clock := clockwork.NewFakeClock()
-	s := &sim{clock: clock, begin: clock.Now(), rand: rand.New(rand.NewSource(seed)), users: users, part: func(int) int { return 0 }}
-	s.opts = append([]Option{WithDraw(s.rand.Float64)}, opts...)
-	for _, u := range users {
-		u.Code, u.Unit, u.left = core.CodeOf(u.Name), core.UnitTokens, u.Burst
-		if u.where == nil {
-			u.where = s.rand.Intn
+	s := &sim{clock: clock, begin: clock.Now(), rand: rand.New(rand.NewSource(seed)), workspaces: workspaces, partitionOf: func(int) int { return 0 }}
+	s.opts = append([]Option{WithRandom(s.rand.Float64)}, opts...)
+	for _, u := range workspaces {
+		u.Code, u.Unit, u.idealLeft = core.CodeOf(u.Name), core.UnitTokens, u.Burst
+		if u.daemonFor == nil {
+			u.daemonFor = s.rand.Intn
 		}
 	}
 	for range daemons {
@@ -95,26 +95,26 @@
 	return s
 }
 
-// start starts a daemon, which knows nothing.
+// start starts a daemon without any state.
 func (s *sim) start(n *node) {
-	n.pool = New(s.clock, func() core.Window { return bounds }, s.opts...)
-	n.up, n.words = true, nil
+	n.pool = New(s.clock, func() core.Window { return ruleWindow }, s.opts...)
+	n.up, n.reports = true, nil
 	s.configure(n)
 }
 
-// restart has a daemon end at a time, and start again a moment later.
+// restart stops a daemon at the time when, and starts it again minDowntime later.
 func (s *sim) restart(n *node, at, when time.Duration) {
 	switch at {
 	case when:
-		n.up, n.down = false, s.clock.Now()
-	case when + away:
+		n.up, n.downSince = false, s.clock.Now()
+	case when + minDowntime:
 		s.start(n)
 	}
 }
 
 func (s *sim) configure(n *node) {
 	var list []*core.Workspace
-	for _, u := range s.users {
+	for _, u := range s.workspaces {
 		list = append(list, u.Workspace)
 	}
 	n.pool.Configure(list)
@@ -122,101 +122,102 @@
 
 func (s *sim) now() time.Duration { return s.clock.Since(s.begin) }
 
-// run lets time pass; each is called at each moment.
-func (s *sim) run(long time.Duration, each func(at time.Duration)) {
-	for end := s.now() + long; s.now() < end; s.clock.Advance(step) {
-		if each != nil {
-			each(s.now())
+// run advances the time; onStep is called at each step.
+func (s *sim) run(duration time.Duration, onStep func(at time.Duration)) {
+	for end := s.now() + duration; s.now() < end; s.clock.Advance(step) {
+		if onStep != nil {
+			onStep(s.now())
 		}
-		if s.now()%turn == 0 {
-			s.tell()
+		if s.now()%reportInterval == 0 {
+			s.exchange()
 		}
-		for _, u := range s.users {
-			s.ask(u)
+		for _, u := range s.workspaces {
+			s.sendRequests(u)
 		}
 	}
 }
 
-// split puts the daemons into parts.
-func (s *sim) split(part func(i int) int) {
-	s.part, s.since = part, s.clock.Now()
+// split assigns the daemons to partitions.
+func (s *sim) split(partitionOf func(i int) int) {
+	s.partitionOf, s.splitAt = partitionOf, s.clock.Now()
 	for _, n := range s.nodes {
-		n.cut = n.last
+		n.atSplit = n.last
 	}
 }
 
-// splitBetween splits the fleet from a time on, and heals it later.
-func (s *sim) splitBetween(at, from, to time.Duration, part func(i int) int) {
+// splitBetween splits the fleet at one time, and heals it at another.
+func (s *sim) splitBetween(at, from, to time.Duration, partitionOf func(i int) int) {
 	switch at {
 	case from:
-		s.split(part)
+		s.split(partitionOf)
 	case to:
 		s.split(func(int) int { return 0 })
 	}
 }
 
-// total is a sum of daemons' words.
+// total is a sum of daemons' reports.
 type total struct {
-	sum  usage
-	said map[core.Code]float64
-	n    int
+	sum       usage
+	reporters map[core.Code]float64
+	n         int
 }
 
 func (t *total) add(u usage, sign float64) {
 	if t.sum == nil {
-		t.sum, t.said = usage{}, map[core.Code]float64{}
+		t.sum, t.reporters = usage{}, map[core.Code]float64{}
 	}
 	t.n += int(sign)
 	for code, one := range u {
 		was := t.sum[code]
 		t.sum[code] = core.Usage{Asked: was.Asked + sign*one.Asked, Spent: was.Spent + sign*one.Spent, Left: was.Left + sign*one.Left}
-		t.said[code] += sign
+		t.reporters[code] += sign
 	}
 }
 
-// tell has all daemons tell each other. Those of another part are heard for a while as
-// they were when the parts changed, and so is one that has gone.
-func (s *sim) tell() {
+// exchange delivers the daemons' reports to each other. For silenceTimeout after a change of
+// the partitions, daemons of other partitions still count with their reports from that time,
+// and so does a daemon that has exited.
+func (s *sim) exchange() {
 	now := s.clock.Now()
 	parts, stale, staleOf := map[int]*total{}, total{}, map[int]*total{}
-	missed := now.Sub(s.since) > silence
+	detected := now.Sub(s.splitAt) > silenceTimeout
 	for i, n := range s.nodes {
 		if n.up {
-			n.words = append(n.words, word{now, n.pool.Usage()})
-			for len(n.words) > 1 && !n.words[1].at.Add(lag).After(now) {
-				n.words = n.words[1:]
+			n.reports = append(n.reports, report{now, n.pool.Usage()})
+			for len(n.reports) > 1 && !n.reports[1].at.Add(reportLag).After(now) {
+				n.reports = n.reports[1:]
 			}
-			n.last = n.words[0].usage
+			n.last = n.reports[0].usage
 		}
-		if !n.up && now.Sub(n.down) > silence {
+		if !n.up && now.Sub(n.downSince) > silenceTimeout {
 			continue
 		}
-		part := s.part(i)
+		part := s.partitionOf(i)
 		if parts[part] == nil {
 			parts[part], staleOf[part] = &total{}, &total{}
 		}
 		parts[part].add(n.last, 1)
-		if !missed {
-			stale.add(n.cut, 1)
-			staleOf[part].add(n.cut, 1)
+		if !detected {
+			stale.add(n.atSplit, 1)
+			staleOf[part].add(n.atSplit, 1)
 		}
 	}
 	for i, n := range s.nodes {
 		if !n.up {
 			continue
 		}
-		part := s.part(i)
+		part := s.partitionOf(i)
 		var t total
 		t.add(parts[part].sum, 1)
-		t.said, t.n = maps.Clone(parts[part].said), parts[part].n
-		if !missed {
-			t.join(&stale, 1)
-			t.join(staleOf[part], -1)
+		t.reporters, t.n = maps.Clone(parts[part].reporters), parts[part].n
+		if !detected {
+			t.merge(&stale, 1)
+			t.merge(staleOf[part], -1)
 		}
 		t.add(n.last, -1)
 		others := usage{}
 		for code, u := range t.sum {
-			if u.Left /= t.said[code]; t.said[code] < 0.5 {
+			if u.Left /= t.reporters[code]; t.reporters[code] < 0.5 {
 				u.Left = math.NaN()
 			}
 			others[code] = core.Usage{Asked: max(0, u.Asked), Spent: max(0, u.Spent), Left: u.Left}
@@ -225,82 +226,83 @@
 	}
 }
 
-// join adds another sum.
-func (t *total) join(other *total, sign float64) {
-	n, said := t.n, maps.Clone(t.said)
+// merge adds another sum.
+func (t *total) merge(other *total, sign float64) {
+	n, reporters := t.n, maps.Clone(t.reporters)
 	t.add(other.sum, sign)
-	t.n, t.said = n+int(sign)*other.n, said
-	for code, k := range other.said {
-		t.said[code] += sign * k
+	t.n, t.reporters = n+int(sign)*other.n, reporters
+	for code, k := range other.reporters {
+		t.reporters[code] += sign * k
 	}
 }
 
-// ask has a workspace's callers send what they send in a moment.
-func (s *sim) ask(u *user) {
+// sendRequests sends the requests of a workspace's callers for one step.
+func (s *sim) sendRequests(u *simWorkspace) {
 	at := s.now()
-	if at < settle {
-		u.at = at
+	if at < settleTime {
+		u.idealAt = at
 		return
 	}
-	u.left = math.Min(u.Burst, u.left+u.Rate*(at-u.at).Seconds())
-	u.at = at
-	for want := u.load(at) * step.Seconds() / u.size; want > 0; want-- {
-		if want < 1 && s.rand.Float64() >= want {
+	u.idealLeft = math.Min(u.Burst, u.idealLeft+u.Rate*(at-u.idealAt).Seconds())
+	u.idealAt = at
+	for due := u.load(at) * step.Seconds() / u.size; due > 0; due-- {
+		if due < 1 && s.rand.Float64() >= due {
 			break
 		}
 		units := u.size * (0.2 + 1.6*s.rand.Float64())
-		n := s.nodes[u.where(len(s.nodes))]
-		u.asked += units
-		owed := u.left >= units
-		if owed {
-			u.left -= units
-			u.owed += units
+		n := s.nodes[u.daemonFor(len(s.nodes))]
+		u.demanded += units
+		entitled := u.idealLeft >= units
+		if entitled {
+			u.idealLeft -= units
+			u.entitled += units
 		}
 		if !n.up || !n.pool.Take(u.Workspace, units).OK {
 			continue
 		}
-		u.in = append(u.in, use{at, units})
-		if owed {
-			u.got += units
+		u.admitted = append(u.admitted, admission{at, units})
+		if entitled {
+			u.granted += units
 		}
 	}
 }
 
-// most is the most that was let in within a window, as a share of what the rule allows.
-func (u *user) most() float64 {
+// peakRatio returns the most units admitted within a window, relative to what the rule allows.
+func (u *simWorkspace) peakRatio() float64 {
 	best, sum, from := 0.0, 0.0, 0
-	for _, one := range u.in {
+	for _, one := range u.admitted {
 		sum += one.units
-		for one.at-u.in[from].at > bounds.Length {
-			sum -= u.in[from].units
+		for one.at-u.admitted[from].at > ruleWindow.Length {
+			sum -= u.admitted[from].units
 			from++
 		}
 		best = max(best, sum)
 	}
-	return best / bounds.Most(u.Workspace)
+	return best / ruleWindow.Most(u.Workspace)
 }
 
-// let is what was let in, as a share of what was owed.
-func (u *user) let() float64 {
+// admittedRatio returns the units admitted, relative to those of the ideal bucket.
+func (u *simWorkspace) admittedRatio() float64 {
 	sum := 0.0
-	for _, one := range u.in {
+	for _, one := range u.admitted {
 		sum += one.units
 	}
-	return sum / max(1, u.owed)
+	return sum / max(1, u.entitled)
 }
 
-// refused is the share of what was owed that was not let in, request by request.
-func (u *user) refused() float64 { return 1 - u.got/max(1, u.owed) }
+// refusedRatio returns the part of the ideal bucket's units that was not admitted, request by
+// request.
+func (u *simWorkspace) refusedRatio() float64 { return 1 - u.granted/max(1, u.entitled) }
 
-// steady is a load that does not change.
+// steady returns a constant load.
 func steady(rate float64) func(time.Duration) float64 {
 	return func(time.Duration) float64 { return rate }
 }
 
-// hot is a load that is x times as high from a time on, for a while.
-func hot(rate, x float64, from, long time.Duration) func(time.Duration) float64 {
+// peak returns a load that is x times as high for a limited time.
+func peak(rate, x float64, from, duration time.Duration) func(time.Duration) float64 {
 	return func(at time.Duration) float64 {
-		if at >= from && at < from+long {
+		if at >= from && at < from+duration {
 			return rate * x
 		}
 		return rate
--- a/coordination/limit/limit_test.go
+++ b/coordination/limit/limit_test.go
@@ -20,9 +20,9 @@
 	return ""
 }
 
-// A service with a limit takes the whole system down, or is starved by a limit
-// that each entry takes for its own: each enforces its share.
-func TestLimitsAreShared(t *testing.T) {
+// Guards against a limited service that takes the whole system down, or is starved, because
+// each daemon treats the limit as its own. Each must enforce its share.
+func TestLimitIsDividedAmongDaemons(t *testing.T) {
 	clock := clockwork.NewFakeClock()
 	l := New(clock, func() int { return 4 })
 	eff := &tree.Effective{Concurrency: 8, Origin: map[string]string{"concurrency": "/service/s"}}
@@ -55,8 +55,8 @@
 	assert.NilError(t, err)
 }
 
-// A tree over a configuration brings no limit of its own.
-func TestNoLimitWhereNoNodeSaysSo(t *testing.T) {
+// A settings tree on top of a configuration adds no limit of its own.
+func TestNoLimitByDefault(t *testing.T) {
 	l := New(clockwork.NewFakeClock(), func() int { return 4 })
 	for range 5000 {
 		_, err := l.Enter(tree.NewOverlay(nil).Effective(tree.Coord{Service: "s"}))
