--- a/coordination/load/load.go
+++ b/coordination/load/load.go
@@ -1,5 +1,5 @@
-// Package load keeps how busy the runners are, as far as this daemon can know:
-// its own requests exactly, the other daemons' as they last told.
+// Package load tracks the load of the runners as far as this daemon can know it: its own
+// requests exactly, those of other daemons as last reported.
 package load
 
 import (
@@ -12,146 +12,147 @@
 )
 
 const (
-	// peerMemory is how long another daemon's count holds without a new one.
-	peerMemory = 2 * time.Second
-	// reportMemory is how long the load that a runner reported is used.
-	reportMemory = 500 * time.Millisecond
-	// penaltyStep is what one failed attempt adds to a runner's cost, in parts
-	// of its slots; it halves every penaltyHalf, so that the runner is probed
-	// back by a few requests first.
+	// peerCountTTL is how long another daemon's counts are used without an update.
+	peerCountTTL = 2 * time.Second
+	// reportedLoadTTL is how long a load that a runner reported is used.
+	reportedLoadTTL = 500 * time.Millisecond
+	// penaltyStep is what one failed attempt adds to a runner's cost, as a part of its slots.
+	// The penalty halves every penaltyHalf, so that only a few requests probe the runner at
+	// first.
 	penaltyStep = 0.5
 	penaltyHalf = 1500 * time.Millisecond
-	penaltyMax  = 4
-	// downMemory is how long a runner counts as down after a connection to it was
-	// refused: its entry lapses after three heartbeats of 1.2 s of silence.
-	downMemory = 4 * time.Second
-	// probeEvery is how often a runner that counts as down may be tried with a request
-	// that no other runner can serve.
-	probeEvery = 3 * time.Second
-	// toldMemory is how long another daemon's word of that holds without being
-	// repeated: two beats between places and a lost one.
-	toldMemory = time.Second
+	maxPenalty  = 4
+	// downTTL is how long a runner counts as down after it refused a connection. Its entry
+	// expires after three heartbeats of 1.2 s without one.
+	downTTL = 4 * time.Second
+	// probeInterval is the least time between two requests to a runner that counts as down.
+	// Only requests that no other runner can serve are sent to it.
+	probeInterval = 3 * time.Second
+	// peerDownTTL is how long a runner counts as down after a peer's last report of it: two
+	// heartbeats between data centres, and a lost one.
+	peerDownTTL = time.Second
 )
 
-// Others stands in Heard for the other daemons of this place of a large fleet.
+// Others is the name in Heard for all other daemons of this data centre in a large fleet.
 const Others = ""
 
-// Table holds the loads.
+// Table holds the load of all runners.
 type Table struct {
 	clock core.Clock
 
-	mu    sync.Mutex
-	own   map[string]*int // requests in progress from here
-	fails map[string]fail
-	peers map[string]peer
-	said  map[string]said
-	heard map[string]time.Time    // when a runner last sent anything
-	down  map[string]time.Time    // when a connection to a runner was last refused, here
-	told  map[core.Code]time.Time // the same, as another daemon has told
-	tried map[string]time.Time    // when a runner that was down was last tried all the same
+	mu           sync.Mutex
+	local        map[string]*int // requests of this daemon in progress
+	failures     map[string]failure
+	peers        map[string]peerCounts
+	reported     map[string]reportedLoad
+	lastReceived map[string]time.Time    // when a runner last sent anything
+	down         map[string]time.Time    // when a runner last refused a connection of this daemon
+	peerDown     map[core.Code]time.Time // when a peer last reported a runner as down
+	probedAt     map[string]time.Time    // when a runner that was down was last probed
 }
 
-type peer struct {
+type peerCounts struct {
 	at     time.Time
 	counts map[core.Code]int
 }
 
-type said struct {
-	at   time.Time
-	load core.Load
-	own  int // requests in progress from here when it was said
+type reportedLoad struct {
+	at    time.Time
+	load  core.Load
+	local int // requests of this daemon in progress at that time
 }
 
-type fail struct {
+type failure struct {
 	at    time.Time
 	value float64
 }
 
 // New returns an empty Table.
 func New(clock core.Clock) *Table {
-	return &Table{clock: clock, own: map[string]*int{}, fails: map[string]fail{}, peers: map[string]peer{}, said: map[string]said{}, heard: map[string]time.Time{}, down: map[string]time.Time{}, told: map[core.Code]time.Time{}, tried: map[string]time.Time{}}
+	return &Table{clock: clock, local: map[string]*int{}, failures: map[string]failure{}, peers: map[string]peerCounts{}, reported: map[string]reportedLoad{}, lastReceived: map[string]time.Time{}, down: map[string]time.Time{}, peerDown: map[core.Code]time.Time{}, probedAt: map[string]time.Time{}}
 }
 
-// Begin counts a request sent to a runner, until end is called. A count begins with
-// each life of the runner: an end of a request to an earlier one must not lower it.
+// Begin counts a request sent to a runner, until end is called. Each instance of the runner
+// has its own count, so that the end of a request to a former instance does not lower the
+// count of the current one.
 func (t *Table) Begin(runner string) (end func()) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	n := t.own[runner]
+	n := t.local[runner]
 	if n == nil {
 		n = new(int)
-		t.own[runner] = n
+		t.local[runner] = n
 	}
 	*n++
 	return sync.OnceFunc(func() {
 		t.mu.Lock()
 		defer t.mu.Unlock()
-		if *n--; *n == 0 && t.own[runner] == n {
-			delete(t.own, runner)
+		if *n--; *n == 0 && t.local[runner] == n {
+			delete(t.local, runner)
 		}
 	})
 }
 
-// ownOf is this daemon's requests in progress at a runner; the caller holds the lock.
-func (t *Table) ownOf(runner string) int {
-	if n := t.own[runner]; n != nil {
+// localRequests returns this daemon's requests in progress at a runner; the caller holds t.mu.
+func (t *Table) localRequests(runner string) int {
+	if n := t.local[runner]; n != nil {
 		return *n
 	}
 	return 0
 }
 
-// Restarted drops all that is known of a runner that has started again under its id:
-// none of the requests that were in progress there is.
+// Restarted drops everything about a runner that has restarted under its ID: none of the
+// requests to the former instance is in progress any more.
 func (t *Table) Restarted(runner string) {
 	t.Forget(runner)
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	delete(t.own, runner)
+	delete(t.local, runner)
 	for _, p := range t.peers {
 		delete(p.counts, core.CodeOf(runner))
 	}
 }
 
-// Said takes in the load that a runner told on an answer.
+// Said records the load that a runner reported with an answer.
 func (t *Table) Said(runner string, l core.Load) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.said[runner] = said{at: t.clock.Now(), load: l, own: t.ownOf(runner)}
+	t.reported[runner] = reportedLoad{at: t.clock.Now(), load: l, local: t.localRequests(runner)}
 }
 
-// Note takes in that a runner has sent something.
+// Note records that a runner has sent something.
 func (t *Table) Note(runner string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.heard[runner] = t.clock.Now()
+	t.lastReceived[runner] = t.clock.Now()
 }
 
-// LastHeard is when a runner last sent anything to this daemon.
+// LastHeard returns when a runner last sent anything to this daemon.
 func (t *Table) LastHeard(runner string) time.Time {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return t.heard[runner]
+	return t.lastReceived[runner]
 }
 
-// Forget drops what is known of a runner that is gone.
+// Forget drops everything about a runner that is gone, except requests in progress.
 func (t *Table) Forget(runner string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	delete(t.said, runner)
-	delete(t.fails, runner)
-	delete(t.heard, runner)
-	t.up(runner)
+	delete(t.reported, runner)
+	delete(t.failures, runner)
+	delete(t.lastReceived, runner)
+	t.clearDown(runner)
 }
 
-// up takes in that a runner is not down; the caller holds the lock.
-func (t *Table) up(runner string) {
+// clearDown marks a runner as not down; the caller holds t.mu.
+func (t *Table) clearDown(runner string) {
 	delete(t.down, runner)
-	delete(t.tried, runner)
-	delete(t.told, core.CodeOf(runner))
+	delete(t.probedAt, runner)
+	delete(t.peerDown, core.CodeOf(runner))
 }
 
-// Refused takes in that a connection to a runner was refused: its process has ended.
-// It says whether that was not known.
+// Refused records that a runner refused a connection, so its process has exited. It returns
+// false if the runner already counted as down.
 func (t *Table) Refused(runner string) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -161,53 +162,53 @@
 	return !known
 }
 
-// Answered takes in that a runner has begun an answer: it is not down.
+// Answered records that a runner has begun an answer, so it is not down.
 func (t *Table) Answered(runner string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.up(runner)
+	t.clearDown(runner)
 }
 
-// Probe says whether a runner that is down may be tried with a request now, and counts
-// it as tried. It may have been taken for down wrongly.
+// Probe reports whether a request may be sent now to a runner that counts as down, and records
+// it as sent. The runner may be up after all.
 func (t *Table) Probe(runner string) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	now := t.clock.Now()
-	if at, ok := t.tried[runner]; ok && now.Sub(at) < probeEvery {
+	if at, ok := t.probedAt[runner]; ok && now.Sub(at) < probeInterval {
 		return false
 	}
-	t.tried[runner] = now
+	t.probedAt[runner] = now
 	return true
 }
 
-// Down says whether a connection to a runner was refused lately, here or at another
-// daemon. Its entry stands for some seconds after its end; to go by it leaves the
-// runner's models unreachable for that long.
+// Down reports whether a runner recently refused a connection, of this daemon or of another
+// one. The runner's entry remains for some seconds after its exit; relying on the entry would
+// leave the runner's models unreachable for that long.
 func (t *Table) Down(runner string) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.isDown(runner, t.clock.Now())
 }
 
-// isDown is Down at a time; the caller holds the lock.
+// isDown is Down at a given time; the caller holds t.mu.
 func (t *Table) isDown(runner string, now time.Time) bool {
 	at, ok := t.down[runner]
-	if ok && now.Sub(at) < downMemory {
+	if ok && now.Sub(at) < downTTL {
 		return true
 	}
-	at, ok = t.told[core.CodeOf(runner)]
-	return ok && now.Sub(at) < toldMemory
+	at, ok = t.peerDown[core.CodeOf(runner)]
+	return ok && now.Sub(at) < peerDownTTL
 }
 
-// OwnDown are the runners that have refused connections of this daemon lately.
+// OwnDown returns the runners that recently refused connections of this daemon.
 func (t *Table) OwnDown() []core.Code {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	now := t.clock.Now()
 	var out []core.Code
 	for id, at := range t.down {
-		if now.Sub(at) < downMemory {
+		if now.Sub(at) < downTTL {
 			out = append(out, core.CodeOf(id))
 		}
 	}
@@ -215,42 +216,42 @@
 	return out
 }
 
-// HeardDown takes in the runners that another daemon counts as down.
+// HeardDown records the runners that another daemon reports as down.
 func (t *Table) HeardDown(runners []core.Code) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	now := t.clock.Now()
 	for _, code := range runners {
-		t.told[code] = now
+		t.peerDown[code] = now
 	}
-	maps.DeleteFunc(t.told, func(_ core.Code, at time.Time) bool { return now.Sub(at) >= toldMemory })
+	maps.DeleteFunc(t.peerDown, func(_ core.Code, at time.Time) bool { return now.Sub(at) >= peerDownTTL })
 }
 
-// Failed marks a runner for an attempt that failed there.
+// Failed adds to a runner's penalty for a failed attempt.
 func (t *Table) Failed(runner string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	now := t.clock.Now()
-	t.fails[runner] = fail{at: now, value: min(penaltyMax, t.fails[runner].left(now)+penaltyStep)}
+	t.failures[runner] = failure{at: now, value: min(maxPenalty, t.failures[runner].remaining(now)+penaltyStep)}
 }
 
-// Worked takes most of a runner's mark away.
+// Worked halves a runner's penalty, and drops a small one.
 func (t *Table) Worked(runner string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	f, ok := t.fails[runner]
+	f, ok := t.failures[runner]
 	if !ok {
 		return
 	}
 	now := t.clock.Now()
-	if f.value = f.left(now) / 2; f.value < penaltyStep/4 {
-		delete(t.fails, runner)
+	if f.value = f.remaining(now) / 2; f.value < penaltyStep/4 {
+		delete(t.failures, runner)
 		return
 	}
-	t.fails[runner] = fail{at: now, value: f.value}
+	t.failures[runner] = failure{at: now, value: f.value}
 }
 
-func (f fail) left(now time.Time) float64 {
+func (f failure) remaining(now time.Time) float64 {
 	halvings := now.Sub(f.at) / penaltyHalf
 	if halvings > 10 {
 		return 0
@@ -262,44 +263,44 @@
 func (t *Table) Own() map[core.Code]int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	out := make(map[core.Code]int, len(t.own))
-	for id, n := range t.own {
+	out := make(map[core.Code]int, len(t.local))
+	for id, n := range t.local {
 		out[core.CodeOf(id)] += *n
 	}
 	return out
 }
 
-// Heard takes in another daemon's counts, or under the name of Others the sum of what
-// the daemons of the place have told.
+// Heard records another daemon's counts, or under the name Others the sum of those reported by
+// the daemons of the data centre.
 func (t *Table) Heard(daemon string, counts map[core.Code]int) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.peers[daemon] = peer{at: t.clock.Now(), counts: maps.Clone(counts)}
+	t.peers[daemon] = peerCounts{at: t.clock.Now(), counts: maps.Clone(counts)}
 }
 
-// View is what is known of a runner's load.
+// View is the known load of a runner.
 type View struct {
 	Requests int     // in progress, from all daemons
-	Penalty  float64 // for attempts that failed lately, in parts of its slots
-	Down     bool    // has refused a connection lately, see Table.Down
+	Penalty  float64 // for recent failed attempts, as a part of the runner's slots
+	Down     bool    // has recently refused a connection, see Table.Down
 }
 
-// View returns what is known of a runner. Of two estimates of its requests the higher
-// counts: what all daemons have told, and what the runner has told with what this
-// daemon has sent since.
+// View returns the known load of a runner. Its requests are the higher of two estimates: the
+// sum over all daemons, and the load that the runner reported plus what this daemon has sent
+// since.
 func (t *Table) View(runner string) View {
 	code := core.CodeOf(runner)
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	now := t.clock.Now()
-	sum := t.ownOf(runner)
+	sum := t.localRequests(runner)
 	for _, p := range t.peers {
-		if now.Sub(p.at) < peerMemory {
+		if now.Sub(p.at) < peerCountTTL {
 			sum += p.counts[code]
 		}
 	}
-	if s, ok := t.said[runner]; ok && now.Sub(s.at) < reportMemory {
-		sum = max(sum, s.load.Running+s.load.Waiting+t.ownOf(runner)-s.own)
+	if s, ok := t.reported[runner]; ok && now.Sub(s.at) < reportedLoadTTL {
+		sum = max(sum, s.load.Running+s.load.Waiting+t.localRequests(runner)-s.local)
 	}
-	return View{Requests: sum, Penalty: t.fails[runner].left(now), Down: t.isDown(runner, now)}
+	return View{Requests: sum, Penalty: t.failures[runner].remaining(now), Down: t.isDown(runner, now)}
 }
--- a/coordination/load/load_test.go
+++ b/coordination/load/load_test.go
@@ -10,9 +10,9 @@
 	"primroseward/core"
 )
 
-// All daemons send to the runner that each of them thinks idle. The count is the
-// higher of what all have told and what the runner told, with what was sent from
-// here since.
+// Guards against all daemons sending to a runner that each of them takes for idle. The number
+// of requests is the higher of the sum over all daemons and of the runner's report plus what
+// this daemon has sent since.
 func TestRequests(t *testing.T) {
 	clock := clockwork.NewFakeClock()
 	l := New(clock)
@@ -27,10 +27,10 @@
 	assert.Equal(t, requests(), 10)
 	ends = append(ends, l.Begin("r"))
 	assert.Equal(t, requests(), 11)
-	clock.Advance(reportMemory)
-	assert.Equal(t, requests(), 6, "the runner's word is old")
-	clock.Advance(peerMemory)
-	assert.Equal(t, requests(), 3, "the daemon is silent")
+	clock.Advance(reportedLoadTTL)
+	assert.Equal(t, requests(), 6, "the runner's report has expired")
+	clock.Advance(peerCountTTL)
+	assert.Equal(t, requests(), 3, "the other daemon's counts have expired")
 	for i := range ends {
 		ends[i]()
 	}
@@ -38,7 +38,7 @@
 	assert.Equal(t, len(l.Own()), 0)
 }
 
-// A runner that fails is left alone for a while and probed back by a few.
+// A runner that fails gets few requests for a while, which probe it.
 func TestPenalty(t *testing.T) {
 	clock := clockwork.NewFakeClock()
 	l := New(clock)
@@ -48,11 +48,11 @@
 	for range 20 {
 		l.Failed("r")
 	}
-	assert.Equal(t, penalty(), float64(penaltyMax))
+	assert.Equal(t, penalty(), float64(maxPenalty))
 	clock.Advance(penaltyHalf)
-	assert.Equal(t, penalty(), float64(penaltyMax)/2)
+	assert.Equal(t, penalty(), float64(maxPenalty)/2)
 	l.Worked("r")
-	assert.Equal(t, penalty(), float64(penaltyMax)/4)
+	assert.Equal(t, penalty(), float64(maxPenalty)/4)
 	for range 10 {
 		l.Worked("r")
 	}
@@ -64,8 +64,8 @@
 	assert.Equal(t, penalty(), 0.0)
 }
 
-// A runner that has started again gets no work, or too much: requests to its former
-// life are counted as in progress, and their ends are counted as ends of new ones.
+// Guards against a restarted runner that gets no work or too much, because requests to its
+// former instance still count as in progress, or their ends count as ends of new requests.
 func TestRestart(t *testing.T) {
 	l := New(clockwork.NewFakeClock())
 	requests := func() int {
@@ -89,32 +89,33 @@
 	assert.Equal(t, len(l.Own()), 0)
 }
 
-// The models of a runner that has crashed are not brought back, and each daemon sends it
-// requests: its entry stands for three heartbeats. A refused connection tells at once,
-// here and at the daemons that are told; an answer, a restart or time take it back.
+// Guards against a crashed runner whose models are not loaded elsewhere and that still gets
+// requests from every daemon, because its entry remains for three heartbeats. A refused
+// connection marks it as down at once, here and at the daemons that receive the report. An
+// answer, a restart or time removes the mark.
 func TestRunnersThatRefuseConnections(t *testing.T) {
 	clock := clockwork.NewFakeClock()
 	a, b := New(clock), New(clock)
 	assert.Assert(t, a.Refused("r"))
-	assert.Assert(t, !a.Refused("r"), "it is known")
+	assert.Assert(t, !a.Refused("r"), "it already counts as down")
 	assert.DeepEqual(t, a.OwnDown(), []core.Code{core.CodeOf("r")})
 	b.HeardDown(a.OwnDown())
 	assert.Assert(t, a.Down("r") && b.Down("r") && !a.Down("other"))
-	assert.Equal(t, len(b.OwnDown()), 0, "a word is not passed on")
-	clock.Advance(toldMemory)
-	assert.Assert(t, a.Down("r") && !b.Down("r"), "a word holds for as long as it is repeated")
-	clock.Advance(downMemory)
+	assert.Equal(t, len(b.OwnDown()), 0, "a report is not passed on")
+	clock.Advance(peerDownTTL)
+	assert.Assert(t, a.Down("r") && !b.Down("r"), "a report expires unless repeated")
+	clock.Advance(downTTL)
 	assert.Assert(t, !a.Down("r") && len(a.OwnDown()) == 0)
-	assert.Assert(t, b.Probe("r") && !b.Probe("r"), "one request may try it")
-	clock.Advance(probeEvery)
+	assert.Assert(t, b.Probe("r") && !b.Probe("r"), "one request may probe it")
+	clock.Advance(probeInterval)
 	assert.Assert(t, b.Probe("r"))
-	for _, back := range []func(*Table){
+	for _, reset := range []func(*Table){
 		func(l *Table) { l.Answered("r") }, func(l *Table) { l.Restarted("r") }, func(l *Table) { l.Forget("r") },
 	} {
 		a.Refused("r")
 		a.HeardDown([]core.Code{core.CodeOf("r")})
 		a.Probe("r")
-		back(a)
+		reset(a)
 		assert.Assert(t, !a.Down("r") && a.Probe("r"))
 	}
 }
--- a/coordination/quarantine/check.go
+++ b/coordination/quarantine/check.go
@@ -17,28 +17,28 @@
 )
 
 const (
-	// checkLimit is how long a runner is asked whether it has ended, with checkPause
-	// between two tries; on a sound network a process that has ended tells within
-	// milliseconds, by refusing the connection.
-	checkLimit = time.Second
-	checkPause = 100 * time.Millisecond
-	// checkGap is the least time between two checks of one runner: one that fails requests
-	// and lives is not asked for each of them.
-	checkGap = 250 * time.Millisecond
-	// tellLag is how long requests that broke off at one runner may wait to be told
-	// together: all of them break within some milliseconds.
-	tellLag = 20 * time.Millisecond
-	// endedMemory is how long it is known that a runner has ended.
-	endedMemory = 30 * time.Second
-	// tellLimit is how long a counter is told, tellResend repeats a message that was lost.
-	tellLimit  = 3 * time.Second
-	tellResend = 100 * time.Millisecond
-	// tellMost is how many requests a message names, which keeps it below a packet of
-	// 1,500 bytes.
-	tellMost = 12
+	// probeTimeout is how long a check tries to reach a runner, with probePause between two
+	// attempts. On a working network an exited process is detected within milliseconds, as the
+	// connection is refused.
+	probeTimeout = time.Second
+	probePause   = 100 * time.Millisecond
+	// minCheckInterval is the least time between two checks of one runner, so that a running
+	// one that fails requests is not probed for each of them.
+	minCheckInterval = 250 * time.Millisecond
+	// reportDelay is how long requests that broke off at one runner are collected for a common
+	// report. All of them break off within some milliseconds.
+	reportDelay = 20 * time.Millisecond
+	// exitRetention is how long a runner's exit is remembered.
+	exitRetention = 30 * time.Second
+	// reportTimeout bounds sending a report to a counter, reportResend is the interval at
+	// which it is resent in case a message was lost.
+	reportTimeout = 3 * time.Second
+	reportResend  = 100 * time.Millisecond
+	// maxAffected bounds the requests per message, to keep it below a packet of 1,500 bytes.
+	maxAffected = 12
 )
 
-// affected is a request that was in progress at a runner when it ended, on the wire.
+// affected is a request that was in progress at a runner when it exited, on the wire.
 type affected struct {
 	Digest  core.Digest `json:"d"`
 	Route   string      `json:"r"`
@@ -47,31 +47,31 @@
 	Fresh   bool        `json:"f,omitempty"`
 }
 
-// runnerEnd tells a counter of a runner's end.
-type runnerEnd struct {
+// exitReport reports a runner's exit to a counter.
+type exitReport struct {
 	Runner   string      `json:"runner"`
-	Life     policy.Life `json:"life"`
+	Instance policy.Life `json:"life"`
 	Affected []affected  `json:"affected"`
 }
 
-// check finds out whether a runner has ended, for all requests that broke off there.
+// check determines whether a runner has exited, for all requests that broke off there.
 type check struct {
-	q        *Quarantine
-	runner   core.Runner
-	life     policy.Life
-	affected []affected // not told yet
-	ended    bool       // the runner has
-	at       time.Time  // when that was found, or when the runner was found alive
-	running  bool
+	q         *Quarantine
+	runner    core.Runner
+	instance  policy.Life
+	affected  []affected // not reported yet
+	exited    bool       // the runner has exited
+	checkedAt time.Time  // end of the last check; zero: none yet
+	running   bool
 }
 
-func lifeOf(r *core.Runner) policy.Life {
+func instanceOf(r *core.Runner) policy.Life {
 	return policy.Life(xxhash.Sum64String(r.ID + " " + strconv.FormatInt(r.Born.UnixMilli(), 10)))
 }
 
 // Broke implements core.Guard.
 func (q *Quarantine) Broke(b core.Broken) {
-	life := lifeOf(&b.Runner)
+	instance := instanceOf(&b.Runner)
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	if q.ctx.Err() != nil {
@@ -79,65 +79,66 @@
 	}
 	now := q.clock.Now()
 	q.expireChecks(now)
-	c := q.checks[life]
+	c := q.checks[instance]
 	if c == nil {
-		c = &check{q: q, runner: b.Runner, life: life}
-		q.checks[life] = c
+		c = &check{q: q, runner: b.Runner, instance: instance}
+		q.checks[instance] = c
 	}
 	c.affected = append(c.affected, affected{Digest: b.Digest, Route: b.Route, Service: b.Service, Begun: b.Begun, Fresh: b.Fresh})
 	if !c.running {
 		c.running = true
 		q.wg.Add(1)
-		go c.run(c.wait(now))
+		go c.run(c.delay(now))
 	}
 }
 
-// expireChecks forgets the runners that were checked long ago; the caller holds the lock.
+// expireChecks drops the runners whose last check ended more than exitRetention ago; the
+// caller holds q.mu.
 func (q *Quarantine) expireChecks(now time.Time) {
-	for life, c := range q.checks {
-		if !c.running && now.Sub(c.at) > endedMemory {
-			delete(q.checks, life)
+	for instance, c := range q.checks {
+		if !c.running && now.Sub(c.checkedAt) > exitRetention {
+			delete(q.checks, instance)
 		}
 	}
 }
 
-// wait is how long the next check is put off; the caller holds the lock.
-func (c *check) wait(now time.Time) time.Duration {
-	if c.ended || c.at.IsZero() {
+// delay returns the time until the next check may start; the caller holds q.mu.
+func (c *check) delay(now time.Time) time.Duration {
+	if c.exited || c.checkedAt.IsZero() {
 		return 0
 	}
-	return max(0, checkGap-now.Sub(c.at))
+	return max(0, minCheckInterval-now.Sub(c.checkedAt))
 }
 
-func (c *check) run(wait time.Duration) {
+func (c *check) run(delay time.Duration) {
 	q := c.q
 	defer q.wg.Done()
-	core.Sleep(q.ctx, q.clock, wait)
-	ended, why := c.ended, error(nil)
-	if !ended {
-		ended, why = c.probe()
+	core.Sleep(q.ctx, q.clock, delay)
+	exited, reason := c.exited, error(nil)
+	if !exited {
+		exited, reason = c.probe()
 	}
-	if ended {
-		core.Sleep(q.ctx, q.clock, tellLag)
+	if exited {
+		core.Sleep(q.ctx, q.clock, reportDelay)
 	}
 	q.mu.Lock()
 	affected := c.affected
-	c.affected, c.ended, c.at, c.running = nil, ended, q.clock.Now(), false
+	c.affected, c.exited, c.checkedAt, c.running = nil, exited, q.clock.Now(), false
 	q.mu.Unlock()
-	if !ended {
-		q.log.Info(logs.RunnerLives, zap.String("runner", c.runner.ID), zap.Int("requests", len(affected)), logs.Err(why))
+	if !exited {
+		q.log.Info(logs.RunnerLives, zap.String("runner", c.runner.ID), zap.Int("requests", len(affected)), logs.Err(reason))
 		return
 	}
 	q.scope.Counter("quarantine_ends").Inc(int64(len(affected)))
-	q.log.Info(logs.RunnerEnded, zap.String("runner", c.runner.ID), zap.Time("born", c.runner.Born), zap.Int("requests", len(affected)), logs.Err(why))
-	q.tellEnd(c, affected)
+	q.log.Info(logs.RunnerEnded, zap.String("runner", c.runner.ID), zap.Time("born", c.runner.Born), zap.Int("requests", len(affected)), logs.Err(reason))
+	q.reportExit(c, affected)
 }
 
-// probe asks the runner for its state until it is known whether it has ended. A runner
-// that can't be reached for other reasons counts as alive: its VM may have lost power or
-// be cut off, which no request brings about.
-func (c *check) probe() (ended bool, err error) {
-	ctx, cancel := context.WithTimeout(c.q.ctx, checkLimit)
+// probe requests the runner's state until it is known whether the runner has exited. A runner
+// that is unreachable for other reasons counts as running: its VM may have lost power or be
+// cut off, which no request can cause.
+func (c *check) probe() (exited bool, err error) {
+	ctx, cancel := context.WithTimeout(c.q.ctx, probeTimeout)
 	defer cancel()
 	for ctx.Err() == nil {
 		var report *core.Report
@@ -148,36 +149,36 @@
 		case err == nil:
 			return !report.Born.IsZero() && !report.Born.Equal(c.runner.Born), nil
 		}
-		core.Sleep(ctx, c.q.clock, checkPause)
+		core.Sleep(ctx, c.q.clock, probePause)
 	}
 	return false, err
 }
 
-// tellEnd tells the counters of each request that a runner has ended under it.
-func (q *Quarantine) tellEnd(c *check, affected []affected) {
+// reportExit reports a runner's exit to the counters of each affected request.
+func (q *Quarantine) reportExit(c *check, affected []affected) {
 	self := q.net.Self().Name
-	for _, one := range byCounter(affected, q.net.Alive()) {
-		for part := range slices.Chunk(one.affected, tellMost) {
-			a := runnerEnd{Runner: c.runner.ID, Life: c.life, Affected: part}
-			if one.counter.Name == self {
-				q.countEnd(a, self)
+	for _, share := range byCounter(affected, q.net.Alive()) {
+		for part := range slices.Chunk(share.affected, maxAffected) {
+			report := exitReport{Runner: c.runner.ID, Instance: c.instance, Affected: part}
+			if share.counter.Name == self {
+				q.countExit(report, self)
 				continue
 			}
 			q.wg.Add(1)
-			go q.runTellEnd(one.counter, a)
+			go q.runReportExit(share.counter, report)
 		}
 	}
 }
 
-// share is the requests that fall to one counter.
-type share struct {
+// counterShare is the requests that one counter counts.
+type counterShare struct {
 	counter  peers.Peer
 	affected []affected
 }
 
-// byCounter groups requests by the daemons that they fall to, of all that live.
-func byCounter(affected []affected, all []peers.Peer) map[string]*share {
-	out := map[string]*share{}
+// byCounter groups requests by their counters among all live daemons.
+func byCounter(affected []affected, all []peers.Peer) map[string]*counterShare {
+	out := map[string]*counterShare{}
 	seen := map[core.Digest]bool{}
 	for _, s := range affected {
 		if seen[s.Digest] && !s.Begun {
@@ -186,7 +187,7 @@
 		seen[s.Digest] = true
 		for _, counter := range countersOf(s.Digest, all) {
 			if out[counter.Name] == nil {
-				out[counter.Name] = &share{counter: counter}
+				out[counter.Name] = &counterShare{counter: counter}
 			}
 			out[counter.Name].affected = append(out[counter.Name].affected, s)
 		}
@@ -194,13 +195,14 @@
 	return out
 }
 
-// runTellEnd tells a counter until it has heard.
-func (q *Quarantine) runTellEnd(to peers.Peer, a runnerEnd) {
+// runReportExit sends a report to a counter until the counter acknowledges it or reportTimeout
+// has passed.
+func (q *Quarantine) runReportExit(to peers.Peer, report exitReport) {
 	defer q.wg.Done()
-	ctx, cancel := context.WithTimeout(q.ctx, tellLimit)
+	ctx, cancel := context.WithTimeout(q.ctx, reportTimeout)
 	defer cancel()
-	var heard bool
-	if err := q.net.Ask(ctx, to, kindEnd, a, &heard, tellResend); err != nil {
-		q.log.Info(logs.CounterSilent, zap.String("counter", to.Name), zap.String("runner", a.Runner), zap.Int("requests", len(a.Affected)), logs.Err(err))
+	var acknowledged bool
+	if err := q.net.Ask(ctx, to, kindExit, report, &acknowledged, reportResend); err != nil {
+		q.log.Info(logs.CounterSilent, zap.String("counter", to.Name), zap.String("runner", report.Runner), zap.Int("requests", len(report.Affected)), logs.Err(err))
 	}
 }
--- a/coordination/quarantine/compare.go
+++ b/coordination/quarantine/compare.go
@@ -13,35 +13,34 @@
 )
 
 const (
-	// compareEvery is how often a daemon that holds requests back compares its decisions
-	// with another daemon's; idleEvery is how often one does that knows of none, once it
-	// has compared for the first time. startEvery is for one that has just started, for at
-	// most startFor: there may be no other.
-	compareEvery = time.Second
-	idleEvery    = 10 * time.Second
-	startEvery   = 100 * time.Millisecond
-	startFor     = 5 * time.Second
-	// compareLimit is how long the other one is waited for.
-	compareLimit  = 300 * time.Millisecond
-	compareResend = 100 * time.Millisecond
-	// holdsMost is how many decisions a message tells, which keeps it below a packet of
-	// 1,500 bytes.
-	holdsMost = 4
+	// compareInterval is how often a daemon with holds compares them with a peer, and
+	// idleCompareInterval how often one without holds does after its first comparison. A
+	// daemon that has just started tries every startCompareInterval until its first
+	// comparison, for at most startPeriod, as there may be no peer.
+	compareInterval      = time.Second
+	idleCompareInterval  = 10 * time.Second
+	startCompareInterval = 100 * time.Millisecond
+	startPeriod          = 5 * time.Second
+	// compareTimeout bounds the wait for the peer's answer.
+	compareTimeout = 300 * time.Millisecond
+	compareResend  = 100 * time.Millisecond
+	// maxHolds bounds the holds per message, to keep it below a packet of 1,500 bytes.
+	maxHolds = 4
 )
 
-// spreadTells are the times after which a decision is told to all: a datagram may be lost,
-// and what it tells must be known within a second or two.
-var spreadTells = []time.Duration{0, 60 * time.Millisecond, 300 * time.Millisecond}
+// holdDelays are the times after which a changed hold is broadcast. It is sent repeatedly
+// because a datagram may be lost, and all daemons must have the change within a second or two.
+var holdDelays = []time.Duration{0, 60 * time.Millisecond, 300 * time.Millisecond}
 
-// spread tells a decision to all daemons.
-func (q *Quarantine) spread(r hold.Record) {
-	q.tellAll(kindHolds, q.encode([]hold.Record{r}), spreadTells)
+// broadcastHold sends a hold to all daemons.
+func (q *Quarantine) broadcastHold(r hold.Record) {
+	q.broadcast(kindHolds, q.encode([]hold.Record{r}), holdDelays)
 }
 
-// tellAll tells all daemons the same at several times from now on.
-func (q *Quarantine) tellAll(kind string, message any, times []time.Duration) {
-	for _, after := range times {
-		q.clock.AfterFunc(after, func() {
+// broadcast sends a message to all daemons after each of the delays.
+func (q *Quarantine) broadcast(kind string, message any, delays []time.Duration) {
+	for _, delay := range delays {
+		q.clock.AfterFunc(delay, func() {
 			if q.ctx.Err() == nil {
 				q.net.TellAll(kind, message)
 			}
@@ -49,7 +48,7 @@
 	}
 }
 
-// encode writes decisions as of now.
+// encode encodes holds as of now.
 func (q *Quarantine) encode(records []hold.Record) []json.RawMessage {
 	out := make([]json.RawMessage, 0, len(records))
 	for i := range records {
@@ -65,7 +64,7 @@
 
 func (q *Quarantine) handleHolds(from peers.Peer, body json.RawMessage, _ func(any)) {
 	var list []json.RawMessage
-	if !q.read(from, body, &list) {
+	if !q.decode(from, body, &list) {
 		return
 	}
 	for _, data := range list {
@@ -74,76 +73,76 @@
 			q.log.Warn(logs.MessageUnreadable, logs.Err(err))
 			continue
 		}
-		q.take(*r, from.Name)
+		q.merge(*r, from.Name)
 	}
 }
 
-// runCompare compares decisions with other daemons, one at a time, drawn at random. What
-// a daemon has missed while it was cut off, or before it started, it learns by that.
+// runCompare compares holds with one random peer at a time. This brings a daemon the changes
+// that it has missed while it was cut off or before it started.
 func (q *Quarantine) runCompare() {
 	defer q.wg.Done()
-	every, began := startEvery, q.clock.Now()
+	interval, started := startCompareInterval, q.clock.Now()
 	for q.ctx.Err() == nil {
-		if q.compare() || q.clock.Since(began) > startFor {
-			every = idleEvery
+		if q.compare() || q.clock.Since(started) > startPeriod {
+			interval = idleCompareInterval
 		}
 		q.table.Expire(q.clock.Now())
-		wait := every
-		if every == idleEvery && q.table.Len() > 0 {
-			wait = compareEvery
+		wait := interval
+		if interval == idleCompareInterval && q.table.Len() > 0 {
+			wait = compareInterval
 		}
-		q.rest(wait/2 + rand.N(wait))
+		q.waitNext(wait/2 + rand.N(wait))
 	}
 }
 
-// rest waits for a time, or until a decision has come. Who held nothing back would sleep
-// on for many seconds, and a daemon that has missed each message of it would not learn of
-// it from anybody.
-func (q *Quarantine) rest(d time.Duration) {
+// waitNext waits for a time, or until a hold changes. Without the latter, daemons that had no
+// holds would wait on for many seconds, and a daemon that missed all broadcasts of a new hold
+// would not get it from any of them.
+func (q *Quarantine) waitNext(d time.Duration) {
 	select {
 	case <-q.ctx.Done():
-	case <-q.decided:
+	case <-q.holdChanged:
 	case <-q.clock.After(d):
 	}
 }
 
-// compare compares with one daemon, and says whether that was possible.
+// compare compares holds with one peer, and returns false if that failed.
 func (q *Quarantine) compare() bool {
 	others := q.net.Alive()[1:]
 	if len(others) == 0 {
 		return false
 	}
 	to := others[rand.N(len(others))]
-	ctx, cancel := context.WithTimeout(q.ctx, compareLimit)
+	ctx, cancel := context.WithTimeout(q.ctx, compareTimeout)
 	defer cancel()
 	mine := q.table.Sum()
 	var theirs uint64
 	if err := q.net.Ask(ctx, to, kindSum, mine, &theirs, compareResend); err != nil {
-		return false // another one is asked next time
+		return false // the next comparison chooses another peer
 	}
 	if theirs != mine {
-		q.tellHolds(to)
+		q.sendHolds(to)
 	}
 	return true
 }
 
-// handleSum answers with the sum of this daemon's decisions, and tells them to a daemon
-// that has others.
+// handleSum answers with the checksum of this daemon's holds, and sends them to a peer whose
+// checksum differs.
 func (q *Quarantine) handleSum(from peers.Peer, body json.RawMessage, answer func(any)) {
 	var theirs uint64
-	if !q.read(from, body, &theirs) {
+	if !q.decode(from, body, &theirs) {
 		return
 	}
 	mine := q.table.Sum()
 	answer(mine)
 	if theirs != mine {
-		q.tellHolds(from)
+		q.sendHolds(from)
 	}
 }
 
-// tellHolds tells another daemon all decisions.
-func (q *Quarantine) tellHolds(to peers.Peer) {
-	for part := range slices.Chunk(q.encode(q.table.All()), holdsMost) {
+// sendHolds sends all holds to a peer.
+func (q *Quarantine) sendHolds(to peers.Peer) {
+	for part := range slices.Chunk(q.encode(q.table.All()), maxHolds) {
 		q.net.Tell(to, kindHolds, part)
 	}
 }
--- a/coordination/quarantine/count.go
+++ b/coordination/quarantine/count.go
@@ -14,50 +14,51 @@
 )
 
 const (
-	// consultTime is how long the other daemons are waited for when they are asked
-	// whether a request has been served: some round trips, and a turn of a hub.
-	consultTime = 150 * time.Millisecond
-	// workedFor is how long ago a request may have been served to count as harmless. What
-	// it asks for may have changed since.
-	workedFor = time.Minute
+	// queryWait is how long to wait for daemons that have served a request: some round trips,
+	// and one interval of a hub.
+	queryWait = 150 * time.Millisecond
+	// servedWindow is how long ago a request may have been served to count as harmless. What
+	// it needs, such as its model, may have changed since an earlier run.
+	servedWindow = time.Minute
 )
 
-// consultTells are the times after which the question is asked: it may be lost.
-var consultTells = []time.Duration{0, 50 * time.Millisecond}
+// queryDelays are the times after which a query is sent; it is sent repeatedly because a
+// message may be lost.
+var queryDelays = []time.Duration{0, 50 * time.Millisecond}
 
-// consult is a question to all daemons whether a request has been served lately.
-type consult struct {
-	record hold.Record // that holds it back if it has not
-	worked string      // the daemon that has served it
+// servedQuery is a query to all daemons for one that has recently served a request.
+type servedQuery struct {
+	record   hold.Record // the hold to place if no daemon has
+	servedBy string      // the daemon that has served it; empty: none yet
 }
 
-// seen asks daemons for a request that they have served.
+// seen is the message of a query for daemons that have served a request.
 type seen struct {
 	Digest core.Digest   `json:"digest"`
 	Within time.Duration `json:"within"`
 }
 
-func (q *Quarantine) handleEnd(from peers.Peer, body json.RawMessage, answer func(any)) {
-	var a runnerEnd
-	if !q.read(from, body, &a) {
+func (q *Quarantine) handleExit(from peers.Peer, body json.RawMessage, answer func(any)) {
+	var report exitReport
+	if !q.decode(from, body, &report) {
 		return
 	}
 	answer(true)
-	q.countEnd(a, from.Name)
+	q.countExit(report, from.Name)
 }
 
-// countEnd counts a runner's end under requests, and holds back those at which too many
-// have ended.
-func (q *Quarantine) countEnd(a runnerEnd, from string) {
-	for _, s := range a.Affected {
+// countExit counts a runner's exit for the requests that it affected, and holds back those
+// with too many exits.
+func (q *Quarantine) countExit(report exitReport, from string) {
+	for _, s := range report.Affected {
 		r, ok := q.table.Get(s.Digest)
 		switch {
 		case !ok || r.State != hold.StateHeld:
-			q.count(a, s, from, r)
+			q.count(report, s, from, r)
 		case r.Left(q.clock.Now()) > 0:
-			// It was in progress when it came to be held back.
+			// The request was already in progress when it was held back.
 		default:
-			q.log.Info(logs.EndCounted, zap.Stringer("digest", s.Digest), zap.String("runner", a.Runner), zap.String("from", from), zap.Bool("tried", true))
+			q.log.Info(logs.EndCounted, zap.Stringer("digest", s.Digest), zap.String("runner", report.Runner), zap.String("from", from), zap.Bool("tried", true))
 			r.Level++
 			r.Runners++
 			q.hold(r)
@@ -65,95 +66,95 @@
 	}
 }
 
-// count adds a runner's end to those under a request that is not held back.
-func (q *Quarantine) count(a runnerEnd, s affected, from string, old hold.Record) {
+// count adds a runner's exit to those of a request that is not held back.
+func (q *Quarantine) count(report exitReport, s affected, from string, old hold.Record) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	runners, many := q.addEnd(a.Life, s)
-	q.log.Info(logs.EndCounted, zap.Stringer("digest", s.Digest), zap.String("runner", a.Runner), zap.String("from", from),
-		zap.Bool("begun", s.Begun), zap.Bool("fresh", s.Fresh), zap.Int("runners", runners), zap.Bool("many", many))
-	if !many {
+	runners, tooMany := q.addExit(report.Instance, s)
+	q.log.Info(logs.EndCounted, zap.Stringer("digest", s.Digest), zap.String("runner", report.Runner), zap.String("from", from),
+		zap.Bool("begun", s.Begun), zap.Bool("fresh", s.Fresh), zap.Int("runners", runners), zap.Bool("many", tooMany))
+	if !tooMany {
 		return
 	}
-	c := q.consults[s.Digest]
+	c := q.queries[s.Digest]
 	if c == nil {
-		c = &consult{}
-		q.consults[s.Digest] = c
-		q.ask(s.Digest)
+		c = &servedQuery{}
+		q.queries[s.Digest] = c
+		q.queryServed(s.Digest)
 	}
 	c.record = hold.Record{Digest: s.Digest, Version: old.Version, Route: s.Route, Service: s.Service, Runners: runners}
 }
 
-// addEnd counts one runner's end; the caller holds the lock.
-func (q *Quarantine) addEnd(life policy.Life, s affected) (runners int, many bool) {
+// addExit counts one runner's exit; the caller holds q.mu.
+func (q *Quarantine) addExit(instance policy.Life, s affected) (runners int, tooMany bool) {
 	if s.Fresh {
-		return q.ends.AddFresh(q.clock.Now(), s.Digest, life)
+		return q.exits.AddFresh(q.clock.Now(), s.Digest, instance)
 	}
-	return q.ends.Add(q.clock.Now(), s.Digest, life, s.Begun)
+	return q.exits.Add(q.clock.Now(), s.Digest, instance, s.Begun)
 }
 
-// ask asks all daemons whether a request has been served lately; the caller holds the
-// lock. A request that is served again and again may be at work on each of the runners
-// that another one ends; only that it is served tells the two apart.
-func (q *Quarantine) ask(d core.Digest) {
-	within := workedFor
+// queryServed sends all daemons a query whether a request has been served recently. A harmless
+// request that arrives again and again may be in progress at each runner that another request
+// brings down. Only the fact that it is served distinguishes the two. The caller holds q.mu.
+func (q *Quarantine) queryServed(d core.Digest) {
+	within := servedWindow
 	if at, ok := q.cleared[d]; ok {
-		within = min(within, q.clock.Since(at)) // that it was served before then has been heard
+		within = min(within, q.clock.Since(at)) // runs before the request was last cleared have been taken into account
 	}
-	q.tellAll(kindSeen, seen{Digest: d, Within: within}, consultTells)
-	q.clock.AfterFunc(consultTime, func() { q.conclude(d) })
-	if q.recent.within(d, within) {
-		q.consults[d].worked = q.net.Self().Name
+	q.broadcast(kindSeen, seen{Digest: d, Within: within}, queryDelays)
+	q.clock.AfterFunc(queryWait, func() { q.decide(d) })
+	if q.recent.servedWithin(d, within) {
+		q.queries[d].servedBy = q.net.Self().Name
 	}
 }
 
 func (q *Quarantine) handleSeen(from peers.Peer, body json.RawMessage, _ func(any)) {
 	var s seen
-	if q.read(from, body, &s) && q.recent.within(s.Digest, s.Within) {
+	if q.decode(from, body, &s) && q.recent.servedWithin(s.Digest, s.Within) {
 		q.net.Tell(from, kindWorked, s.Digest)
 	}
 }
 
 func (q *Quarantine) handleWorked(from peers.Peer, body json.RawMessage, _ func(any)) {
 	var d core.Digest
-	if !q.read(from, body, &d) {
+	if !q.decode(from, body, &d) {
 		return
 	}
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	if c := q.consults[d]; c != nil {
-		c.worked = from.Name
+	if c := q.queries[d]; c != nil {
+		c.servedBy = from.Name
 	}
 }
 
-// conclude holds a request back, or clears it where a daemon has served it.
-func (q *Quarantine) conclude(d core.Digest) {
+// decide holds a request back, or clears it if a daemon has served it.
+func (q *Quarantine) decide(d core.Digest) {
 	q.mu.Lock()
-	c := q.consults[d]
+	c := q.queries[d]
 	if c == nil || q.ctx.Err() != nil {
 		q.mu.Unlock()
-		return // decided elsewhere meanwhile
+		return // decided by another daemon meanwhile
 	}
-	delete(q.consults, d)
-	if c.worked != "" {
+	delete(q.queries, d)
+	if c.servedBy != "" {
 		q.clear(d)
 	}
 	q.mu.Unlock()
-	if c.worked == "" {
+	if c.servedBy == "" {
 		q.hold(c.record)
 		return
 	}
 	q.scope.Counter("quarantine_cleared").Inc(1)
-	q.log.Info(logs.RequestCleared, zap.Stringer("digest", d), zap.String("worked", c.worked), zap.Int("runners", c.record.Runners))
+	q.log.Info(logs.RequestCleared, zap.Stringer("digest", d), zap.String("worked", c.servedBy), zap.Int("runners", c.record.Runners))
 }
 
-// clear drops what is held against a request; the caller holds the lock.
+// clear drops the exits counted for a request; the caller holds q.mu.
 func (q *Quarantine) clear(d core.Digest) {
-	q.ends.Clear(d)
+	q.exits.Clear(d)
 	now := q.clock.Now()
 	q.cleared[d] = now
 	for other, at := range q.cleared {
-		if now.Sub(at) > workedFor {
+		if now.Sub(at) > servedWindow {
 			delete(q.cleared, other)
 		}
 	}
--- a/coordination/quarantine/hubs_test.go
+++ b/coordination/quarantine/hubs_test.go
@@ -17,21 +17,22 @@
 	"primroseward/standin/memory"
 )
 
-// hubFleet is how many daemons tell each other by hubs: more than sixteen do.
-const hubFleet = 20
+// hubFleetSize is a number of daemons that communicate through hubs, which takes more than
+// sixteen.
+const hubFleetSize = 20
 
-// In a large fleet no daemon tells all others itself. A request is held back at all of
-// them, and released, by messages that hubs pass on over real sockets.
-func TestHeldBackByHubs(t *testing.T) {
+// In a large fleet no daemon sends to all others itself. A hold and its release must reach all
+// of them through the hubs, over real sockets.
+func TestHoldIsRelayedByHubs(t *testing.T) {
 	store, r := memory.New(), newRunners()
-	all := make([]*daemon, hubFleet)
+	all := make([]*daemon, hubFleetSize)
 	for i := range all {
 		all[i] = startOnSockets(t, store, fmt.Sprint("d", i), []string{"north", "south"}[i%2], r)
 	}
 	for _, d := range all {
 		poll.WaitOn(t, func(poll.LogT) poll.Result {
-			if n := len(d.Quarantine.net.Alive()); n != hubFleet {
-				return poll.Continue("%s knows %d", d.name, n)
+			if n := len(d.Quarantine.net.Alive()); n != hubFleetSize {
+				return poll.Continue("%s has %d live daemons", d.name, n)
 			}
 			return poll.Success()
 		}, poll.WithTimeout(30*time.Second))
@@ -39,12 +40,12 @@
 	for i := range 3 {
 		r.crash(all[i], fmt.Sprint("r", i), harmful)
 	}
-	until(t, "held back", all, knows(harmful))
+	waitForAll(t, "held back", all, hasHold(harmful))
 	assert.Assert(t, all[7].Release(harmful))
-	until(t, "released", all, released(harmful))
+	waitForAll(t, "released", all, released(harmful))
 }
 
-// startOnSockets brings up a daemon's part that knows the others by their datagrams.
+// startOnSockets starts the quarantine of a daemon that communicates by datagrams.
 func startOnSockets(t *testing.T, store *memory.Store, name, place string, r *runners) *daemon {
 	t.Helper()
 	conn, err := net.ListenUDP("udp", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)})
--- a/coordination/quarantine/keep.go
+++ b/coordination/quarantine/keep.go
@@ -16,37 +16,37 @@
 )
 
 const (
-	// keepPause is the time between two looks for decisions to be kept, or two tries
-	// while the store fails.
-	keepPause = 500 * time.Millisecond
-	// readEvery is how often one daemon reads what operators have changed in the store,
-	// while any request is held back.
-	readEvery = 5 * time.Second
-	// storeMemory is how long the store keeps a decision after its term. It is far longer
-	// than daemons do, as clocks may differ.
-	storeMemory = 24 * time.Hour
-	// storeLimit bounds one call.
-	storeLimit = 2 * time.Second
+	// writePause is the time between two rounds of writes and reads, also while the store
+	// fails.
+	writePause = 500 * time.Millisecond
+	// readInterval is how often one daemon reads the operators' changes from the store while
+	// any request is held back.
+	readInterval = 5 * time.Second
+	// storeRetention is how long the store keeps a hold after its start. It is far longer than
+	// daemons keep it, because clocks may differ.
+	storeRetention = 24 * time.Hour
+	// storeTimeout bounds one write or read.
+	storeTimeout = 2 * time.Second
 )
 
-// keeper keeps decisions in the platform's store, so that they outlive the loss of all
-// daemons, and reads there what operators release.
+// keeper writes holds to the platform's store, so that they survive the loss of all daemons,
+// and reads there which ones operators have released.
 type keeper struct {
-	q     *Quarantine
-	store core.Platform
-	reads func() bool
+	q        *Quarantine
+	store    core.Platform
+	isReader func() bool
 
 	mu      sync.Mutex
 	waiting map[core.Digest]bool
 	readAt  time.Time // zero: never
 }
 
-func newKeeper(q *Quarantine, store core.Platform, reads func() bool) *keeper {
-	return &keeper{q: q, store: store, reads: reads, waiting: map[core.Digest]bool{}}
+func newKeeper(q *Quarantine, store core.Platform, isReader func() bool) *keeper {
+	return &keeper{q: q, store: store, isReader: isReader, waiting: map[core.Digest]bool{}}
 }
 
-// add has a request's record written.
-func (k *keeper) add(d core.Digest) {
+// enqueue schedules the write of a request's hold.
+func (k *keeper) enqueue(d core.Digest) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	k.waiting[d] = true
@@ -55,23 +55,23 @@
 func (k *keeper) run(ctx context.Context) {
 	defer k.q.wg.Done()
 	for ctx.Err() == nil {
-		for _, d := range k.due() {
+		for _, d := range k.takeWaiting() {
 			if err := k.write(ctx, d); err != nil {
 				k.q.log.Warn(logs.HoldUnkept, zap.Stringer("digest", d), logs.Err(err))
-				k.add(d)
+				k.enqueue(d)
 			}
 		}
-		if k.mustRead() {
+		if k.readDue() {
 			if err := k.read(ctx); err != nil {
 				k.q.log.Warn(logs.HoldsUnread, logs.Err(err))
 			}
 		}
-		core.Sleep(ctx, k.q.clock, keepPause)
+		core.Sleep(ctx, k.q.clock, writePause)
 	}
 }
 
-// due takes out the requests whose records are to be written.
-func (k *keeper) due() []core.Digest {
+// takeWaiting removes and returns the requests whose holds are to be written.
+func (k *keeper) takeWaiting() []core.Digest {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	out := slices.Collect(maps.Keys(k.waiting))
@@ -79,8 +79,8 @@
 	return out
 }
 
-// write brings the store's record of a request up to this daemon's, or this daemon's up
-// to the store's where that is later.
+// write updates the store's record of a hold to this daemon's, or this daemon's to the store's
+// if that is not older.
 func (k *keeper) write(ctx context.Context, d core.Digest) error {
 	r, ok := k.q.table.Get(d)
 	if !ok {
@@ -90,7 +90,7 @@
 	if err != nil {
 		return err
 	}
-	ctx, cancel := context.WithTimeout(ctx, storeLimit)
+	ctx, cancel := context.WithTimeout(ctx, storeTimeout)
 	defer cancel()
 	o := core.Object{Kind: core.KindHolds, Name: d.String(), Body: body}
 	if r.Version == 1 {
@@ -108,7 +108,7 @@
 	}
 	theirs, err := hold.Stored(old.Body, k.q.clock.Now())
 	if err == nil && theirs.Version >= r.Version {
-		k.q.take(*theirs, core.KindHolds)
+		k.q.merge(*theirs, core.KindHolds)
 		return nil
 	}
 	old.Body = body
@@ -116,19 +116,19 @@
 	return err
 }
 
-// mustRead says whether this daemon is to read the store's records now: once after its
-// start, and again and again while requests are held back.
-func (k *keeper) mustRead() bool {
-	if !k.reads() {
+// readDue reports whether this daemon is to read the store now: once after its start, and
+// every readInterval while any request is held back.
+func (k *keeper) readDue() bool {
+	if !k.isReader() {
 		return false
 	}
-	return k.readAt.IsZero() || k.q.table.Len() > 0 && k.q.clock.Since(k.readAt) >= readEvery
+	return k.readAt.IsZero() || k.q.table.Len() > 0 && k.q.clock.Since(k.readAt) >= readInterval
 }
 
-// read takes in the store's records, tells the others of what is news, and removes those
-// that are long over.
+// read merges the store's holds, broadcasts the changed ones, and deletes those older than
+// storeRetention.
 func (k *keeper) read(ctx context.Context) error {
-	ctx, cancel := context.WithTimeout(ctx, storeLimit)
+	ctx, cancel := context.WithTimeout(ctx, storeTimeout)
 	defer cancel()
 	objects, _, err := k.store.List(ctx, core.KindHolds)
 	if err != nil {
@@ -142,14 +142,14 @@
 			k.q.log.Warn(logs.HoldUnreadable, zap.String("name", o.Name), logs.Err(err))
 			continue
 		}
-		if now.Sub(r.Since) > storeMemory {
+		if now.Sub(r.Since) > storeRetention {
 			if err := k.store.Delete(ctx, o); err != nil {
-				k.q.log.Info(logs.HoldUnkept, zap.String("name", o.Name), logs.Err(err)) // it is removed another time
+				k.q.log.Info(logs.HoldUnkept, zap.String("name", o.Name), logs.Err(err)) // the next read tries again
 			}
 			continue
 		}
-		if k.q.take(*r, core.KindHolds) {
-			k.q.spread(*r)
+		if k.q.merge(*r, core.KindHolds) {
+			k.q.broadcastHold(*r)
 		}
 	}
 	return nil
--- a/coordination/quarantine/quarantine.go
+++ b/coordination/quarantine/quarantine.go
@@ -1,11 +1,13 @@
-// Package quarantine holds back requests under which runners end. Such a request comes
-// again under other ids and at any daemon, and takes with it all that runs beside it.
+// Package quarantine holds back requests under which runners exit. Callers send such a request
+// again under other IDs and to any daemon, and each time it also breaks off all other requests
+// at the same runner.
 //
-// The daemon whose request breaks off finds out whether the runner has ended, and tells
-// what was in progress there to a few daemons, the counters that the request's digest
-// falls to. They count, and hold back what has been there at every end and was never served. Decisions
-// are told to all daemons, kept in the platform's store, and compared by pairs of daemons,
-// so that one that has just started or was cut off learns of them.
+// The daemon whose request breaks off determines whether the runner has exited. It reports the
+// requests that were in progress there to their counters, a few daemons chosen by the digest
+// of each request. The counters count exits, and hold back a request that was in progress at
+// every exit and was never served. Holds are broadcast to all daemons, kept in the platform's
+// store, and compared between pairs of daemons, so that a daemon that has just started or was
+// cut off gets them too.
 package quarantine
 
 import (
@@ -27,13 +29,13 @@
 	"primroseward/state/hold"
 )
 
-// counters is how many daemons count the ends of runners under a request: with three
-// the loss or the cut of two at once loses nothing.
-const counters = 3
+// counterCount is the number of daemons that count the exits under a request. With three, no
+// count is lost if two of them fail or are cut off at once.
+const counterCount = 3
 
 // Kinds of messages between daemons.
 const (
-	kindEnd    = "end"
+	kindExit   = "end"
 	kindSeen   = "seen"
 	kindWorked = "worked"
 	kindHolds  = "holds"
@@ -41,7 +43,7 @@
 	kindTrial  = "trial"
 )
 
-// Network brings messages to other daemons.
+// Network sends messages to other daemons.
 type Network interface {
 	Self() peers.Peer
 	Alive() []peers.Peer
@@ -51,31 +53,31 @@
 	Ask(ctx context.Context, to peers.Peer, kind string, question, out any, resend time.Duration) error
 }
 
-// Prober asks a runner for its state.
+// Prober reads a runner's state.
 type Prober interface {
 	Report(ctx context.Context, r *core.Runner) (*core.Report, error)
 }
 
-// Quarantine is one daemon's part in it; it implements core.Guard.
+// Quarantine is one daemon's part of the quarantine. It implements core.Guard.
 type Quarantine struct {
 	net    Network
 	prober Prober
 	clock  core.Clock
 	log    *zap.Logger
 	scope  tally.Scope
-	held   func(core.Digest)
+	onHold func(core.Digest)
 	keeper *keeper
 
-	table   *hold.Table
-	recent  *recent
-	decided chan struct{} // a decision has been taken in
+	table       *hold.Table
+	recent      *recent
+	holdChanged chan struct{} // signals that a hold has changed
 
-	mu       sync.Mutex
-	ends     *policy.Ends
-	checks   map[policy.Life]*check
-	consults map[core.Digest]*consult
-	cleared  map[core.Digest]time.Time
-	trials   map[core.Digest]time.Time // when a run was let through
+	mu      sync.Mutex
+	exits   *policy.Ends
+	checks  map[policy.Life]*check
+	queries map[core.Digest]*servedQuery
+	cleared map[core.Digest]time.Time
+	trials  map[core.Digest]time.Time // when a run was admitted
 
 	wg   sync.WaitGroup
 	ctx  context.Context
@@ -84,33 +86,33 @@
 
 var _ core.Guard = (*Quarantine)(nil)
 
-// Option changes a Quarantine.
+// Option configures a Quarantine.
 type Option func(*Quarantine)
 
-// WithScope counts in a scope.
+// WithScope sets the scope of the metrics.
 func WithScope(s tally.Scope) Option { return func(q *Quarantine) { q.scope = s } }
 
-// WithHeld calls fn for each request that comes to be held back.
-func WithHeld(fn func(core.Digest)) Option { return func(q *Quarantine) { q.held = fn } }
+// WithHeld sets a function that is called for each request that is held back.
+func WithHeld(fn func(core.Digest)) Option { return func(q *Quarantine) { q.onHold = fn } }
 
-// WithStore keeps decisions in the platform's store. reads tells whether this daemon is the
-// one that reads there what operators have changed.
+// WithStore keeps holds in the platform's store. reads returns whether this daemon is the one
+// that reads operators' changes there.
 func WithStore(store core.Platform, reads func() bool) Option {
 	return func(q *Quarantine) { q.keeper = newKeeper(q, store, reads) }
 }
 
-// New makes a Quarantine, which also takes in messages of other daemons.
+// New returns a Quarantine and registers its message handlers.
 func New(net Network, prober Prober, clock core.Clock, log *zap.Logger, opts ...Option) *Quarantine {
 	q := &Quarantine{
-		net: net, prober: prober, clock: clock, log: log, scope: tally.NoopScope, held: func(core.Digest) {},
-		table: hold.NewTable(), recent: newRecent(clock), decided: make(chan struct{}, 1), ends: policy.NewEnds(), checks: map[policy.Life]*check{},
-		consults: map[core.Digest]*consult{}, cleared: map[core.Digest]time.Time{}, trials: map[core.Digest]time.Time{},
+		net: net, prober: prober, clock: clock, log: log, scope: tally.NoopScope, onHold: func(core.Digest) {},
+		table: hold.NewTable(), recent: newRecent(clock), holdChanged: make(chan struct{}, 1), exits: policy.NewEnds(), checks: map[policy.Life]*check{},
+		queries: map[core.Digest]*servedQuery{}, cleared: map[core.Digest]time.Time{}, trials: map[core.Digest]time.Time{},
 	}
 	q.ctx, q.stop = context.WithCancel(context.Background())
 	for _, o := range opts {
 		o(q)
 	}
-	net.Handle(kindEnd, q.handleEnd)
+	net.Handle(kindExit, q.handleExit)
 	net.Handle(kindSeen, q.handleSeen)
 	net.Handle(kindWorked, q.handleWorked)
 	net.Handle(kindHolds, q.handleHolds)
@@ -119,7 +121,7 @@
 	return q
 }
 
-// Start begins to compare decisions with other daemons, and to keep them.
+// Start starts the comparison of holds with peers, and the keeper of the store.
 func (q *Quarantine) Start() {
 	q.wg.Add(1)
 	go q.runCompare()
@@ -129,7 +131,7 @@
 	}
 }
 
-// Stop ends that.
+// Stop stops both and waits for running checks and reports.
 func (q *Quarantine) Stop() {
 	q.stop()
 	q.wg.Wait()
@@ -144,8 +146,8 @@
 	return r.Left(q.clock.Now())
 }
 
-// Admit implements core.Guard. Once a request's term is over one run of it is let
-// through, by the daemon that the request falls to.
+// Admit implements core.Guard. When a hold has expired, the request's first counter admits a
+// single trial.
 func (q *Quarantine) Admit(ctx context.Context, d core.Digest) (time.Duration, bool) {
 	r, ok := q.table.Held(d)
 	if !ok {
@@ -154,7 +156,7 @@
 	if left := r.Left(q.clock.Now()); left > 0 {
 		return left, false
 	}
-	if !q.askTrial(ctx, d) {
+	if !q.requestTrial(ctx, d) {
 		return trialRetry, false
 	}
 	q.scope.Counter("quarantine_trials").Inc(1)
@@ -162,8 +164,8 @@
 	return 0, true
 }
 
-// Worked implements core.Guard. A request that was served while it is held back was
-// taken for harmful wrongly, or what it asks for has been repaired.
+// Worked implements core.Guard. If a request is served while it is held back, it was blamed
+// wrongly or the model that it needs has been repaired.
 func (q *Quarantine) Worked(d core.Digest) {
 	q.recent.add(d)
 	if r, ok := q.table.Held(d); ok {
@@ -171,7 +173,7 @@
 	}
 }
 
-// Release ends the hold of a request by an operator's word; false if there is none.
+// Release ends a hold on behalf of an operator; false if there is none.
 func (q *Quarantine) Release(d core.Digest) bool {
 	r, ok := q.table.Held(d)
 	if !ok {
@@ -181,34 +183,35 @@
 	return true
 }
 
-// Records returns what is known of requests that are or were held back.
+// Records returns the records of requests that are or were held back.
 func (q *Quarantine) Records() []hold.Record { return q.table.All() }
 
-// release decides that a request is held back no longer.
+// release ends the hold of a request.
 func (q *Quarantine) release(r hold.Record, by hold.By) {
 	r.Release(by, q.clock.Now())
-	q.decide(r)
+	q.commit(r)
 }
 
-// hold decides that a request is held back, for the first time or once more.
+// hold holds a request back, for the first time or again.
 func (q *Quarantine) hold(r hold.Record) {
 	r.Hold(q.clock.Now())
-	q.decide(r)
+	q.commit(r)
 }
 
-// decide takes in a decision of this daemon, tells it to all and has it kept.
-func (q *Quarantine) decide(r hold.Record) {
-	if !q.take(r, q.net.Self().Name) {
+// commit applies a change made by this daemon, broadcasts it and schedules its write to the
+// store.
+func (q *Quarantine) commit(r hold.Record) {
+	if !q.merge(r, q.net.Self().Name) {
 		return
 	}
-	q.spread(r)
+	q.broadcastHold(r)
 	if q.keeper != nil {
-		q.keeper.add(r.Digest)
+		q.keeper.enqueue(r.Digest)
 	}
 }
 
-// take takes in a decision, and says whether it is news.
-func (q *Quarantine) take(r hold.Record, from string) bool {
+// merge applies a changed hold, and returns false if it is not newer than the known one.
+func (q *Quarantine) merge(r hold.Record, from string) bool {
 	if !q.table.Merge(r) {
 		return false
 	}
@@ -217,29 +220,29 @@
 	q.log.Warn(logs.HoldChanged, zap.Stringer("digest", r.Digest), zap.String("state", string(r.State)), zap.String("by", string(r.By)),
 		zap.String("from", from), zap.Uint64("version", r.Version), zap.String("route", r.Route), zap.String("service", r.Service),
 		zap.Int("runners", r.Runners), zap.Int("times", r.Level+1), zap.Duration("left", r.Left(q.clock.Now())))
-	q.forget(r.Digest)
+	q.dropCounts(r.Digest)
 	if r.State == hold.StateHeld {
-		q.held(r.Digest)
+		q.onHold(r.Digest)
 	}
 	select {
-	case q.decided <- struct{}{}:
-	default: // one is waiting to be seen
+	case q.holdChanged <- struct{}{}:
+	default: // a signal is already pending
 	}
 	return true
 }
 
-// forget drops what was counted of a request once it has been decided on.
-func (q *Quarantine) forget(d core.Digest) {
+// dropCounts drops what was counted for a request once a hold has been placed or ended.
+func (q *Quarantine) dropCounts(d core.Digest) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	q.ends.Clear(d)
-	delete(q.consults, d)
+	q.exits.Clear(d)
+	delete(q.queries, d)
 	delete(q.trials, d)
 }
 
-// countersOf returns the daemons that a request falls to, of all that live, this one first,
-// by a hash that all daemons agree on as far as they know the same daemons. One that
-// leaves counts nothing, unless it is the only one.
+// countersOf returns the counters of a request among all live daemons, the first one granting
+// its trials. The rank is a hash, so daemons with the same list of live daemons choose the
+// same counters. A daemon that is leaving is no counter, unless there is no other.
 func countersOf(d core.Digest, all []peers.Peer) []peers.Peer {
 	type ranked struct {
 		peers.Peer
@@ -255,15 +258,15 @@
 		return all[:1]
 	}
 	slices.SortFunc(list, func(a, b ranked) int { return cmp.Compare(b.rank, a.rank) })
-	out := make([]peers.Peer, 0, counters)
-	for _, one := range list[:min(counters, len(list))] {
+	out := make([]peers.Peer, 0, counterCount)
+	for _, one := range list[:min(counterCount, len(list))] {
 		out = append(out, one.Peer)
 	}
 	return out
 }
 
-// read reads a message; one that can't be read is logged.
-func (q *Quarantine) read(from peers.Peer, body json.RawMessage, out any) bool {
+// decode decodes a message, and logs one that is malformed.
+func (q *Quarantine) decode(from peers.Peer, body json.RawMessage, out any) bool {
 	if err := json.Unmarshal(body, out); err != nil {
 		q.log.Warn(logs.MessageUnreadable, zap.String("other", from.Name), logs.Err(err))
 		return false
--- a/coordination/quarantine/quarantine_test.go
+++ b/coordination/quarantine/quarantine_test.go
@@ -19,32 +19,32 @@
 )
 
 var (
-	born    = time.UnixMilli(1764700000123)
-	harmful = core.DigestOf(&core.Request{Target: "/harmful"})
-	other   = core.DigestOf(&core.Request{Target: "/other"})
+	startedAt = time.UnixMilli(1764700000123)
+	harmful   = core.DigestOf(&core.Request{Target: "/harmful"})
+	other     = core.DigestOf(&core.Request{Target: "/other"})
 )
 
-func newRunners() *runners { return &runners{says: map[string]error{}, born: born} }
+func newRunners() *runners { return &runners{probeErrs: map[string]error{}, startedAt: startedAt} }
 
-// broke is a request whose connection a runner has closed.
-func broke(d core.Digest, runner string) core.Broken {
-	return core.Broken{Digest: d, Runner: core.Runner{ID: runner, Born: born}, Route: "r", Service: "s", Begun: true}
+// broken is a request whose connection a runner has closed.
+func broken(d core.Digest, runner string) core.Broken {
+	return core.Broken{Digest: d, Runner: core.Runner{ID: runner, Born: startedAt}, Route: "r", Service: "s", Begun: true}
 }
 
-// crash ends a runner under requests at a daemon.
+// crash makes a runner exit under requests of a daemon.
 func (r *runners) crash(at *daemon, runner string, digests ...core.Digest) {
-	r.end(runner, core.ErrNoListener)
+	r.setProbeErr(runner, core.ErrNoListener)
 	for _, d := range digests {
-		at.Broke(broke(d, runner))
+		at.Broke(broken(d, runner))
 	}
 }
 
-// until waits for a condition at all daemons.
-func until(t *testing.T, what string, daemons []*daemon, ok func(d *daemon) bool) {
+// waitForAll waits for a condition at all daemons.
+func waitForAll(t *testing.T, what string, daemons []*daemon, condition func(d *daemon) bool) {
 	t.Helper()
 	poll.WaitOn(t, func(poll.LogT) poll.Result {
 		for _, d := range daemons {
-			if !ok(d) {
+			if !condition(d) {
 				return poll.Continue("%s: %s", d.name, what)
 			}
 		}
@@ -52,12 +52,12 @@
 	}, poll.WithTimeout(20*time.Second), poll.WithDelay(5*time.Millisecond))
 }
 
-func holds(digest core.Digest) func(*daemon) bool {
+func isHeld(digest core.Digest) func(*daemon) bool {
 	return func(d *daemon) bool { return d.Held(digest) > 0 }
 }
 
-// knows says whether a daemon knows that a request is held back, its term over or not.
-func knows(digest core.Digest) func(*daemon) bool {
+// hasHold reports whether a daemon has a hold for a request, expired or not.
+func hasHold(digest core.Digest) func(*daemon) bool {
 	return func(d *daemon) bool {
 		r, ok := d.table.Get(digest)
 		return ok && r.State == hold.StateHeld
@@ -71,8 +71,8 @@
 	}
 }
 
-// A request ends three runners, each seen by another daemon of a small or a large fleet
-// that loses one message in five. All daemons hold it back.
+// A request brings down three runners, each noticed by another daemon of a small or a large
+// fleet that loses one message in five. All daemons must hold it back.
 func TestHeldBackEverywhere(t *testing.T) {
 	for _, count := range []int{1, 3, 17, 60} {
 		t.Run(fmt.Sprint(count), func(t *testing.T) {
@@ -82,14 +82,15 @@
 			for i := range 3 {
 				r.crash(all[rand.N(count)], fmt.Sprint("r", i), harmful)
 			}
-			until(t, "held back", all, knows(harmful)) // the first may have had its term when the last learns
+			waitForAll(t, "held back", all, hasHold(harmful)) // the first hold may have expired before the last daemon gets it
 			assert.Equal(t, all[0].Held(other), time.Duration(0))
 		})
 	}
 }
 
-// A request that has just begun at two runners when they end costs a third one, though
-// nothing else is in that state. Two are enough, seen by one daemon or by two.
+// Guards against a third exit for a request that had just begun at two runners when they
+// exited, which happens to hardly any other request. Two such exits are enough, noticed by one
+// daemon or by two.
 func TestTwoRunnersThatHadJustBegunIt(t *testing.T) {
 	for _, tt := range []struct {
 		name  string
@@ -97,29 +98,29 @@
 		held  bool
 	}{
 		{"just begun", true, true},
-		{"begun at some time", false, false},
+		{"begun earlier", false, false},
 	} {
 		n, r := newNetwork(), newRunners()
 		all := n.fleet(t, 3, r)
 		for i := range 2 {
-			r.end(fmt.Sprint("r", i), core.ErrNoListener)
-			b := broke(harmful, fmt.Sprint("r", i))
+			r.setProbeErr(fmt.Sprint("r", i), core.ErrNoListener)
+			b := broken(harmful, fmt.Sprint("r", i))
 			b.Fresh = tt.fresh
 			all[i].Broke(b)
 		}
 		if tt.held {
-			until(t, tt.name, all, knows(harmful))
+			waitForAll(t, tt.name, all, hasHold(harmful))
 			continue
 		}
-		time.Sleep(2 * consultTime)
-		assert.Assert(t, !knows(harmful)(all[0]), tt.name)
+		time.Sleep(2 * queryWait)
+		assert.Assert(t, !hasHold(harmful)(all[0]), tt.name)
 	}
 }
 
-// A request is held back after a calm time, and one daemon misses each message that tells
-// so. It goes on sending the request to runners for up to fifteen seconds: the others,
-// which held nothing back before, were in their long pause between two comparisons and
-// slept on. Now a decision ends that pause.
+// A request is held back after a time without holds, and one daemon misses every broadcast of
+// the hold. That daemon went on sending the request to runners for up to fifteen seconds,
+// because the others, which had no holds before, waited out the long idle interval before
+// their next comparison. A changed hold must end that wait.
 func TestDecisionBeginsComparisons(t *testing.T) {
 	n, r := newNetwork(), newRunners()
 	all := n.fleet(t, 4, r)
@@ -130,24 +131,24 @@
 			return n.sums[d.name] >= times
 		}
 	}
-	until(t, "compared", all, compared(1)) // and rest from now on
+	waitForAll(t, "compared", all, compared(1)) // and wait for the idle interval from now on
 	began := time.Now()
 	for i := range 3 {
 		r.crash(all[i], fmt.Sprint("r", i), harmful)
 	}
-	until(t, "compared again", all, compared(2))
-	assert.Assert(t, time.Since(began) < idleEvery/2, "after %v, no sooner than without a decision", time.Since(began))
+	waitForAll(t, "compared again", all, compared(2))
+	assert.Assert(t, time.Since(began) < idleCompareInterval/2, "after %v, no sooner than without a changed hold", time.Since(began))
 }
 
-// Links are cut, VMs lose power, runners fail requests and live: connections close while
-// no request is at fault. None is held back.
-func TestRunnerThatHasNotEndedTellsNothing(t *testing.T) {
+// Links are cut, VMs lose power, and runners fail requests without exiting: connections close
+// while no request is at fault. None may be held back.
+func TestUnprovenExitIsNotCounted(t *testing.T) {
 	for _, tt := range []struct {
-		name string
-		says error
+		name     string
+		probeErr error
 	}{
-		{"it answers", nil},
-		{"it can't be reached", core.ErrNotSent},
+		{"it answers the probe", nil},
+		{"it is unreachable", core.ErrNotSent},
 		{"it closes the next connection too", fmt.Errorf("%w: %w", core.ErrLost, core.ErrClosed)},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
@@ -156,76 +157,76 @@
 			d := n.start(t, "d", clockwork.NewRealClock(), r)
 			for i := range 5 {
 				id := fmt.Sprint("r", i)
-				r.end(id, tt.says)
-				d.Broke(broke(harmful, id))
+				r.setProbeErr(id, tt.probeErr)
+				d.Broke(broken(harmful, id))
 			}
-			time.Sleep(checkLimit + consultTime + tellLag + 200*time.Millisecond)
+			time.Sleep(probeTimeout + queryWait + reportDelay + 200*time.Millisecond)
 			assert.Equal(t, d.Held(harmful), time.Duration(0))
 		})
 	}
 }
 
-// A runner that has started again under its id, or whose address another instance has, has
-// ended.
-func TestRunnerThatHasStartedAgainHasEnded(t *testing.T) {
+// A runner that has restarted under its ID, or whose address belongs to another instance, has
+// exited.
+func TestRestartCountsAsExit(t *testing.T) {
 	n, r := newNetwork(), newRunners()
 	d := n.start(t, "d", clockwork.NewRealClock(), r)
 	for i := range 2 {
 		id := fmt.Sprint("r", i)
-		r.end(id, core.ErrReplaced)
-		d.Broke(broke(harmful, id))
+		r.setProbeErr(id, core.ErrReplaced)
+		d.Broke(broken(harmful, id))
 	}
-	again := broke(harmful, "r3")
-	again.Runner.Born = born.Add(-time.Hour) // it reports to have been born later
+	again := broken(harmful, "r3")
+	again.Runner.Born = startedAt.Add(-time.Hour) // it reports a later start
 	d.Broke(again)
-	until(t, "held back", []*daemon{d}, holds(harmful))
+	waitForAll(t, "held back", []*daemon{d}, isHeld(harmful))
 }
 
-// A harmless request comes again and again, and is at work on each runner that another
-// one ends. It has been served meanwhile, by a daemon that no counter need be, and is not
-// held back; one that ended runners after it was served is.
-func TestRequestThatIsServedIsCleared(t *testing.T) {
+// A harmless request arrives again and again, and is in progress at each runner that another
+// request brings down. It has been served meanwhile, by a daemon that need not be a counter,
+// and must not be held back. A request that brings down runners after it was served must be.
+func TestServedRequestIsCleared(t *testing.T) {
 	n, r := newNetwork(), newRunners()
 	all := n.fleet(t, 5, r)
 	all[4].Worked(other)
 	for i := range 3 {
 		r.crash(all[i], fmt.Sprint("r", i), harmful, other)
 	}
-	until(t, "held back", all, holds(harmful))
-	time.Sleep(2 * consultTime)
+	waitForAll(t, "held back", all, isHeld(harmful))
+	time.Sleep(2 * queryWait)
 	for _, d := range all {
 		assert.Equal(t, d.Held(other), time.Duration(0), d.name)
 	}
 	for i := range 3 {
 		r.crash(all[i], fmt.Sprint("again", i), other)
 	}
-	until(t, "held back, as it was not served since", all, holds(other))
+	waitForAll(t, "held back, as it was not served again", all, isHeld(other))
 }
 
-// A request is held back while a daemon is cut off, and another one starts later. Both
-// learn of it from the others, and so they do of its release.
-func TestDaemonsThatWereAwayLearn(t *testing.T) {
+// A request is held back while a daemon is cut off, and another daemon starts later. Both must
+// get the hold from the others, and its release as well.
+func TestHoldReachesAbsentDaemons(t *testing.T) {
 	n, r := newNetwork(), newRunners()
 	all := n.fleet(t, 4, r)
-	away := all[3]
-	n.setCut(away, true)
+	isolated := all[3]
+	n.setIsolated(isolated, true)
 	for i := range 3 {
 		r.crash(all[i], fmt.Sprint("r", i), harmful)
 	}
-	until(t, "held back", all[:3], holds(harmful))
-	assert.Equal(t, away.Held(harmful), time.Duration(0))
-	n.setCut(away, false)
+	waitForAll(t, "held back", all[:3], isHeld(harmful))
+	assert.Equal(t, isolated.Held(harmful), time.Duration(0))
+	n.setIsolated(isolated, false)
 	late := n.start(t, "late", clockwork.NewRealClock(), r)
-	until(t, "held back", []*daemon{away, late}, holds(harmful))
-	n.setCut(away, true)
+	waitForAll(t, "held back", []*daemon{isolated, late}, isHeld(harmful))
+	n.setIsolated(isolated, true)
 	assert.Assert(t, all[0].Release(harmful))
-	n.setCut(away, false)
-	until(t, "released", append(all, late), released(harmful))
+	n.setIsolated(isolated, false)
+	waitForAll(t, "released", append(all, late), released(harmful))
 }
 
-// A request is held back while the store is away. When that is back all daemons are
-// killed at once: the next ones know it all the same.
-func TestDecisionsOutliveAllDaemons(t *testing.T) {
+// A request is held back while the store is unavailable. Once the store is back, all daemons
+// are killed at once. The next ones must still have the hold.
+func TestHoldSurvivesAllDaemons(t *testing.T) {
 	n, r, store := newNetwork(), newRunners(), memory.New()
 	client := store.Client()
 	reads := func() bool { return true }
@@ -234,7 +235,7 @@
 	for i := range 3 {
 		r.crash(all[i], fmt.Sprint("r", i), harmful)
 	}
-	until(t, "held back", all, holds(harmful))
+	waitForAll(t, "held back", all, isHeld(harmful))
 	client.Cut(false)
 	poll.WaitOn(t, func(poll.LogT) poll.Result {
 		if _, err := client.Get(context.Background(), core.KindHolds, harmful.String()); err != nil {
@@ -246,63 +247,63 @@
 		d.kill()
 	}
 	next := n.fleet(t, 3, r, WithStore(client, reads))
-	until(t, "known", next, func(d *daemon) bool {
+	waitForAll(t, "hold restored", next, func(d *daemon) bool {
 		_, ok := d.table.Get(harmful)
 		return ok
 	})
 }
 
-// atRest is one daemon on a clock of the test's own.
-func atRest(t *testing.T) (*Quarantine, *clockwork.FakeClock) {
+// newSolo returns the Quarantine of a single daemon, and its clock.
+func newSolo(t *testing.T) (*Quarantine, *clockwork.FakeClock) {
 	t.Helper()
 	clock := clockwork.NewFakeClock()
 	d := &daemon{net: newNetwork(), name: "d"}
-	q := New(mute{d}, newRunners(), clock, zap.NewNop())
+	q := New(soloNetwork{d}, newRunners(), clock, zap.NewNop())
 	return q, clock
 }
 
-// mute is a Network without others.
-type mute struct{ *daemon }
+// soloNetwork is a Network without peers.
+type soloNetwork struct{ *daemon }
 
 // Handle implements Network.
-func (mute) Handle(string, peers.Handler) {}
+func (soloNetwork) Handle(string, peers.Handler) {}
 
-// Its term is over, and one run of a request is let through. It ends a runner once more
-// and is held back for longer; then it has been repaired, is served and released.
+// When a hold expires, one run of its request is admitted. The request brings down a runner
+// again and is held back for longer; later it has been repaired, is served and released.
 func TestTrial(t *testing.T) {
-	q, clock := atRest(t)
+	q, clock := newSolo(t)
 	ctx := context.Background()
 	r := hold.Record{Digest: harmful, Route: "r", Service: "s", Runners: 3}
 	q.hold(r)
 	retry, ok := q.Admit(ctx, harmful)
 	assert.Assert(t, !ok && retry == hold.Term(0))
 	clock.Advance(hold.Term(0))
-	assert.Equal(t, q.Held(harmful), time.Duration(0), "it may be tried")
+	assert.Equal(t, q.Held(harmful), time.Duration(0), "a trial is due")
 	_, ok = q.Admit(ctx, harmful)
 	assert.Assert(t, ok)
 	retry, ok = q.Admit(ctx, harmful)
-	assert.Assert(t, !ok && retry == trialRetry, "one at a time")
-	q.countEnd(runnerEnd{Runner: "r9", Life: 9, Affected: []affected{{Digest: harmful, Begun: true}}}, "d")
+	assert.Assert(t, !ok && retry == trialRetry, "one trial at a time")
+	q.countExit(exitReport{Runner: "r9", Instance: 9, Affected: []affected{{Digest: harmful, Begun: true}}}, "d")
 	assert.Equal(t, q.Held(harmful), hold.Term(1))
 	clock.Advance(hold.Term(1))
 	_, ok = q.Admit(ctx, harmful)
 	assert.Assert(t, ok)
-	clock.Advance(trialTime)
+	clock.Advance(trialDuration)
 	_, ok = q.Admit(ctx, harmful)
-	assert.Assert(t, ok, "nothing came of the one before")
+	assert.Assert(t, ok, "the trial before had no result")
 	q.Worked(harmful)
 	for range 2 {
 		_, ok = q.Admit(ctx, harmful)
-		assert.Assert(t, ok, "it is released")
+		assert.Assert(t, ok, "the hold is released")
 	}
 }
 
-// A request was in progress at several runners when it came to be held back, and ends
-// them as well. It is not held back for longer because of that.
-func TestEndsUnderAHeldRequestChangeNothing(t *testing.T) {
-	q, _ := atRest(t)
+// A request was in progress at several runners when it was held back, and brings them down as
+// well. That must not extend its hold.
+func TestExitsDuringHoldAreIgnored(t *testing.T) {
+	q, _ := newSolo(t)
 	q.hold(hold.Record{Digest: harmful, Runners: 3})
-	q.countEnd(runnerEnd{Runner: "r9", Life: 9, Affected: []affected{{Digest: harmful, Begun: true}}}, "d")
+	q.countExit(exitReport{Runner: "r9", Instance: 9, Affected: []affected{{Digest: harmful, Begun: true}}}, "d")
 	assert.Equal(t, q.Held(harmful), hold.Term(0))
 	assert.Equal(t, q.Records()[0].Level, 0)
 }
@@ -311,28 +312,28 @@
 	clock := clockwork.NewFakeClock()
 	r := newRecent(clock)
 	r.add(harmful)
-	for i := range recentMost {
-		assert.Assert(t, r.within(harmful, time.Minute), "%d", i)
+	for i := range maxRecent {
+		assert.Assert(t, r.servedWithin(harmful, time.Minute), "%d", i)
 		r.add(core.DigestOf(&core.Request{Target: fmt.Sprint(i)}))
 	}
-	assert.Assert(t, !r.within(harmful, time.Minute))
-	assert.Equal(t, len(r.at), recentMost)
+	assert.Assert(t, !r.servedWithin(harmful, time.Minute))
+	assert.Equal(t, len(r.at), maxRecent)
 	r.add(harmful)
 	clock.Advance(time.Second)
-	assert.Assert(t, !r.within(harmful, time.Second/2))
+	assert.Assert(t, !r.servedWithin(harmful, time.Second/2))
 }
 
 func BenchmarkHeld(b *testing.B) {
 	n, r := newNetwork(), newRunners()
 	d := &daemon{net: n, name: "d"}
-	q := New(mute{d}, r, clockwork.NewRealClock(), zap.NewNop())
+	q := New(soloNetwork{d}, r, clockwork.NewRealClock(), zap.NewNop())
 	for _, tt := range []struct {
 		name string
 		held int
 	}{{"none", 0}, {"1000", 1000}} {
 		b.Run(tt.name, func(b *testing.B) {
 			for i := range tt.held {
-				q.take(hold.Record{Digest: core.DigestOf(&core.Request{Target: fmt.Sprint(i)}), Version: 1, State: hold.StateHeld, Until: time.Now().Add(time.Hour)}, "d")
+				q.merge(hold.Record{Digest: core.DigestOf(&core.Request{Target: fmt.Sprint(i)}), Version: 1, State: hold.StateHeld, Until: time.Now().Add(time.Hour)}, "d")
 			}
 			b.ReportAllocs()
 			for b.Loop() {
@@ -345,8 +346,8 @@
 	}
 }
 
-// BenchmarkEnd is the end of a runner with 64 requests of daemons drawn at random: what
-// the daemons tell each other, all together.
+// BenchmarkEnd measures the bytes that all daemons send each other after the exit of a runner
+// with 64 requests of random daemons.
 func BenchmarkEnd(b *testing.B) {
 	for _, count := range []int{30, 300} {
 		b.Run(fmt.Sprint(count), func(b *testing.B) {
@@ -355,8 +356,8 @@
 			for i := range all {
 				all[i] = n.start(b, fmt.Sprint("d", i), clockwork.NewRealClock(), r)
 			}
-			time.Sleep(time.Second) // they compare once
-			before := n.sent()
+			time.Sleep(time.Second) // each compares once
+			before := n.bytesSent()
 			for round := 0; b.Loop(); round++ {
 				id := fmt.Sprint("r", round)
 				for i := range 64 {
@@ -364,7 +365,7 @@
 				}
 				time.Sleep(200 * time.Millisecond)
 			}
-			b.ReportMetric(float64(n.sent()-before)/float64(b.N), "B/end")
+			b.ReportMetric(float64(n.bytesSent()-before)/float64(b.N), "B/end")
 		})
 	}
 }
--- a/coordination/quarantine/recent.go
+++ b/coordination/quarantine/recent.go
@@ -7,9 +7,9 @@
 	"primroseward/core"
 )
 
-// recentMost is how many served requests a daemon remembers: those of some 40 seconds at
-// 200 a second, in half a megabyte.
-const recentMost = 8192
+// maxRecent is how many served requests a daemon remembers: about 40 seconds at 200 per
+// second, in half a megabyte.
+const maxRecent = 8192
 
 // recent remembers the requests that were served last.
 type recent struct {
@@ -21,10 +21,10 @@
 }
 
 func newRecent(clock core.Clock) *recent {
-	return &recent{clock: clock, at: make(map[core.Digest]time.Time), ring: make([]core.Digest, 0, recentMost)}
+	return &recent{clock: clock, at: make(map[core.Digest]time.Time), ring: make([]core.Digest, 0, maxRecent)}
 }
 
-// add remembers that a request was served now, in the place of the one remembered first.
+// add records that a request was served now, and drops the oldest entry when full.
 func (r *recent) add(d core.Digest) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -32,17 +32,17 @@
 	r.at[d] = r.clock.Now()
 	switch {
 	case known:
-	case len(r.ring) < recentMost:
+	case len(r.ring) < maxRecent:
 		r.ring = append(r.ring, d)
 	default:
 		delete(r.at, r.ring[r.next])
 		r.ring[r.next] = d
-		r.next = (r.next + 1) % recentMost
+		r.next = (r.next + 1) % maxRecent
 	}
 }
 
-// within says whether a request was served not longer ago than a time.
-func (r *recent) within(d core.Digest, age time.Duration) bool {
+// servedWithin reports whether a request was served no longer ago than age.
+func (r *recent) servedWithin(d core.Digest, age time.Duration) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	at, ok := r.at[d]
--- a/coordination/quarantine/sim_test.go
+++ b/coordination/quarantine/sim_test.go
@@ -16,49 +16,49 @@
 	"primroseward/core"
 )
 
-// network joins simulated daemons; messages between them may be lost.
+// network connects simulated daemons; it can lose messages.
 type network struct {
 	mu      sync.Mutex
 	daemons map[string]*daemon
 	loss    float64        // share of messages that are lost
-	sums    map[string]int // comparisons by the daemon that began them
+	sums    map[string]int // number of comparisons by the daemon that started them
 	bytes   int
 }
 
-// daemon is one simulated daemon; it implements Network.
+// daemon is a simulated daemon. It implements Network.
 type daemon struct {
 	*Quarantine
 	net      *network
 	name     string
-	cut      bool // nothing comes through
+	isolated bool // neither sends nor receives
 	handlers map[string]peers.Handler
 	stopped  bool
 }
 
-// runners is a Prober for runners that have ended or live as a test says.
+// runners is a Prober with the results that a test sets.
 type runners struct {
-	mu   sync.Mutex
-	says map[string]error // nil: it lives
-	born time.Time
+	mu        sync.Mutex
+	probeErrs map[string]error // result of a probe by runner; nil: running
+	startedAt time.Time
 }
 
 func (r *runners) Report(_ context.Context, one *core.Runner) (*core.Report, error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if err := r.says[one.ID]; err != nil {
+	if err := r.probeErrs[one.ID]; err != nil {
 		return nil, err
 	}
-	return &core.Report{Born: r.born}, nil
+	return &core.Report{Born: r.startedAt}, nil
 }
 
-func (r *runners) end(id string, how error) {
+func (r *runners) setProbeErr(id string, err error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.says[id] = how
+	r.probeErrs[id] = err
 }
 
-// sent is how many bytes messages have had so far.
-func (n *network) sent() int {
+// bytesSent returns the bytes of all messages so far.
+func (n *network) bytesSent() int {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.bytes
@@ -66,7 +66,7 @@
 
 func newNetwork() *network { return &network{daemons: map[string]*daemon{}, sums: map[string]int{}} }
 
-// start brings a daemon up, in the place of one of the same name.
+// start starts a daemon, and replaces one of the same name.
 func (n *network) start(t testing.TB, name string, clock clockwork.Clock, r *runners, opts ...Option) *daemon {
 	t.Helper()
 	d := &daemon{net: n, name: name, handlers: map[string]peers.Handler{}}
@@ -92,7 +92,7 @@
 	}
 }
 
-// fleet brings several daemons up.
+// fleet starts several daemons.
 func (n *network) fleet(t *testing.T, count int, r *runners, opts ...Option) []*daemon {
 	t.Helper()
 	out := make([]*daemon, count)
@@ -102,18 +102,18 @@
 	return out
 }
 
-func (n *network) setCut(d *daemon, cut bool) {
+func (n *network) setIsolated(d *daemon, isolated bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	d.cut = cut
+	d.isolated = isolated
 }
 
-// deliver brings a message to a daemon, unless it is lost.
+// deliver passes a message to a daemon, unless it is lost.
 func (n *network) deliver(from *daemon, to string, kind string, body json.RawMessage, answer func(any)) {
 	n.mu.Lock()
 	n.bytes += len(body)
 	d := n.daemons[to]
-	lost := d == nil || d.cut || from.cut || rand.Float64() < n.loss
+	lost := d == nil || d.isolated || from.isolated || rand.Float64() < n.loss
 	if kind == kindSum {
 		n.sums[from.name]++
 	}
@@ -131,7 +131,7 @@
 	defer d.net.mu.Unlock()
 	out := []peers.Peer{d.Self()}
 	for name, other := range d.net.daemons {
-		if name != d.name && !d.cut && !other.cut {
+		if name != d.name && !d.isolated && !other.isolated {
 			out = append(out, peers.Peer{Name: name})
 		}
 	}
--- a/coordination/quarantine/trial.go
+++ b/coordination/quarantine/trial.go
@@ -13,23 +13,24 @@
 )
 
 const (
-	// trialTime is how long a counter lets nothing else through once it has let one run be
-	// tried; a stream is served or has ended its runner by then.
-	trialTime = 15 * time.Second
-	// trialLimit is how long a daemon waits for leave to try a run, trialResend repeats
-	// the question, and trialRetry is when a caller may come back where leave is not given.
-	trialLimit  = 200 * time.Millisecond
-	trialResend = 60 * time.Millisecond
-	trialRetry  = 2 * time.Second
+	// trialDuration is how long a counter grants no further trial of a request after one. By
+	// then a stream has been served or has brought down its runner.
+	trialDuration = 15 * time.Second
+	// trialTimeout bounds the wait for a grant, trialResend is the interval at which the
+	// request for it is resent, and trialRetry is the retry time of a caller whose trial is
+	// not granted.
+	trialTimeout = 200 * time.Millisecond
+	trialResend  = 60 * time.Millisecond
+	trialRetry   = 2 * time.Second
 )
 
-// askTrial asks the first counter of a request for leave to try a run.
-func (q *Quarantine) askTrial(ctx context.Context, d core.Digest) bool {
+// requestTrial requests a trial from the first counter of a request.
+func (q *Quarantine) requestTrial(ctx context.Context, d core.Digest) bool {
 	counter := countersOf(d, q.net.Alive())[0]
 	if counter.Name == q.net.Self().Name {
-		return q.grant(d)
+		return q.grantTrial(d)
 	}
-	ctx, cancel := context.WithTimeout(ctx, trialLimit)
+	ctx, cancel := context.WithTimeout(ctx, trialTimeout)
 	defer cancel()
 	var granted bool
 	if err := q.net.Ask(ctx, counter, kindTrial, d, &granted, trialResend); err != nil {
@@ -41,15 +42,15 @@
 
 func (q *Quarantine) handleTrial(from peers.Peer, body json.RawMessage, answer func(any)) {
 	var d core.Digest
-	if !q.read(from, body, &d) {
+	if !q.decode(from, body, &d) {
 		return
 	}
-	answer(q.grant(d))
+	answer(q.grantTrial(d))
 }
 
-// grant lets one run of a request be tried, unless one is being tried. A question that is
-// repeated, as its answer was lost, gets no leave: the caller comes again.
-func (q *Quarantine) grant(d core.Digest) bool {
+// grantTrial grants one trial of a request, unless another one is in progress. A resent
+// message whose answer was lost gets no grant; the caller tries again later.
+func (q *Quarantine) grantTrial(d core.Digest) bool {
 	r, ok := q.table.Held(d)
 	now := q.clock.Now()
 	if !ok || r.Left(now) > 0 {
@@ -57,7 +58,7 @@
 	}
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	if at, tried := q.trials[d]; tried && now.Sub(at) < trialTime {
+	if at, tried := q.trials[d]; tried && now.Sub(at) < trialDuration {
 		return false
 	}
 	q.trials[d] = now
