--- a/coordination/allowance/allowance_test.go
+++ b/coordination/allowance/allowance_test.go
@@ -19,7 +19,7 @@
 }
 
 // cases are loads and faults of a fleet. rate is the workspace's allowance and load its demand
-// in units per second; do returns a function that changes the daemons over time.
+// in units per second; faults returns a function that changes the daemons over time.
 var cases = []struct {
 	name      string
 	rate      float64
--- a/coordination/allowance/limits_sim_test.go
+++ b/coordination/allowance/limits_sim_test.go
@@ -199,7 +199,7 @@
 }
 
 // All other runners exit or fill up at once, so that each daemon admits the whole rest of the
-// bucket before it receives the peers' reports.
+// bucket before it receives the peers' reports. Arrivals must still stay within the rule.
 func TestSurgeAtLimitedRunner(t *testing.T) {
 	for _, daemons := range []int{2, 8, 20} {
 		for _, rate := range []float64{0.5, 2, 6, 30} {
--- a/coordination/allowance/sim_test.go
+++ b/coordination/allowance/sim_test.go
@@ -43,7 +43,7 @@
 type node struct {
 	pool             *Pool
 	up               bool
-	downSince        time.Time // since when it is not up
+	downSince        time.Time // when it last stopped
 	reports          []report
 	last             usage // as it arrives now
 	atSplit          usage // as it arrived when the partitions last changed
--- a/coordination/load/load.go
+++ b/coordination/load/load.go
@@ -23,7 +23,7 @@
 	penaltyHalf = 1500 * time.Millisecond
 	maxPenalty  = 4
 	// downTTL is how long a runner counts as down after it refused a connection. Its entry
-	// expires after three heartbeats of 1.2 s without one.
+	// expires sooner, after three missed heartbeats of 1.2 s each.
 	downTTL = 4 * time.Second
 	// probeInterval is the least time between two requests to a runner that counts as down.
 	// Only requests that no other runner can serve are sent to it.
