--- a/coordination/load/load.go
+++ b/coordination/load/load.go
@@ -22,8 +22,8 @@
 	penaltyStep = 0.5
 	penaltyHalf = 1500 * time.Millisecond
 	maxPenalty  = 4
-	// downTTL is how long a runner counts as down after it refused a connection. Its entry
-	// expires sooner, after three missed heartbeats of 1.2 s each.
+	// downTTL is how long a runner counts as down after it refused a connection. By then
+	// its entry has expired, which takes three missed heartbeats of 1.2 s.
 	downTTL = 4 * time.Second
 	// probeInterval is the least time between two requests to a runner that counts as down.
 	// Only requests that no other runner can serve are sent to it.
--- a/coordination/quarantine/quarantine.go
+++ b/coordination/quarantine/quarantine.go
@@ -240,9 +240,10 @@
 	delete(q.trials, d)
 }
 
-// countersOf returns the counters of a request among all live daemons, the first one granting
-// its trials. The rank is a hash, so daemons with the same list of live daemons choose the
-// same counters. A daemon that is leaving is no counter, unless there is no other.
+// countersOf returns the counters of a request, the first of which grants its trials. all
+// lists the live daemons, this one first. The rank is a hash, so daemons with the same list of
+// live daemons choose the same counters. A daemon that is leaving is no counter; if all are
+// leaving, this one is the only counter.
 func countersOf(d core.Digest, all []peers.Peer) []peers.Peer {
 	type ranked struct {
 		peers.Peer
