--- a/coordination/peers/ask.go
+++ b/coordination/peers/ask.go
@@ -15,8 +15,10 @@
 	"primroseward/io/logs"
 )
 
-func (p *Peers) answer(addr netip.AddrPort, d datagram) {
-	h, ok := p.handlers[d.Kind]
+// handleMessage passes a message to the handler of its kind and sends the handler's
+// reply back if the message is a request.
+func (p *Peers) handleMessage(addr netip.AddrPort, d datagram) {
+	handler, ok := p.handlers[d.Kind]
 	if !ok {
 		return
 	}
@@ -28,45 +30,47 @@
 	}
 	p.mu.Unlock()
 	if !ok {
-		// Its first beat was lost, or only its hub knows it. It asks again.
+		// The sender's first heartbeat was lost, or only its hub has its addresses. The
+		// message is dropped; the sender of a request resends it.
 		p.log.Debug(logs.DaemonUnknown, zap.String("other", d.From))
-		p.askWho(addr)
+		p.requestHeartbeat(addr)
 		return
 	}
 	number := d.Number
-	h(from, d.Body, func(v any) {
+	handler(from, d.Body, func(v any) {
 		if number == 0 {
 			return
 		}
 		if body := p.marshal(v); body != nil {
-			p.post(from, kindAnswer, datagram{Number: number, Body: body})
+			p.sendMessage(from, kindReply, datagram{Number: number, Body: body})
 		}
 	})
 }
 
-func (p *Peers) post(to Peer, kind string, d datagram) { p.postAll([]Peer{to}, kind, d) }
+func (p *Peers) sendMessage(to Peer, kind string, d datagram) { p.sendToAll([]Peer{to}, kind, d) }
 
-// postAll sends a message to several daemons, as this one's unless it is passed on.
-func (p *Peers) postAll(to []Peer, kind string, d datagram) {
+// sendToAll sends a message to several peers. Its sender is this daemon unless
+// d.From is set, as it is in a message that a hub forwards.
+func (p *Peers) sendToAll(to []Peer, kind string, d datagram) {
 	data := p.encode(d)
 	if data == nil {
 		return
 	}
-	for _, one := range to {
-		p.send(one, kind, data)
+	for _, peer := range to {
+		p.send(peer, kind, data)
 	}
 }
 
-// encode writes a message, as this daemon's unless it is passed on; nil if it can't be
-// written, which is logged.
+// encode encodes a message, with this daemon as the sender unless d.From is set. It logs
+// an encoding error and returns nil.
 func (p *Peers) encode(d datagram) []byte {
 	if d.From == "" {
-		d.From = p.self.Name // which never changes
+		d.From = p.self.Name // never changes, so no lock is needed
 	}
 	return p.marshal(d)
 }
 
-// marshal writes a value; nil if it can't be written, which is logged.
+// marshal encodes a value as JSON. It logs an encoding error and returns nil.
 func (p *Peers) marshal(v any) []byte {
 	data, err := json.Marshal(v)
 	if err != nil {
@@ -76,41 +80,41 @@
 	return data
 }
 
-// ErrNoAnswer is the error of a question that another daemon did not answer.
+// ErrNoAnswer is returned for a request to which a peer sent no reply in time.
 var ErrNoAnswer = errors.New("daemon did not answer")
 
-// Ask puts a question to another daemon. The datagram is sent again after
-// every resend without an answer, so handlers must take repeats.
-func (p *Peers) Ask(ctx context.Context, to Peer, kind string, question, out any, resend time.Duration) error {
-	body, err := json.Marshal(question)
+// Ask sends a request to a peer and decodes the reply into out. The request is sent again
+// after every resend interval without a reply, so handlers must accept duplicates.
+func (p *Peers) Ask(ctx context.Context, to Peer, kind string, request, out any, resend time.Duration) error {
+	body, err := json.Marshal(request)
 	if err != nil {
 		return eris.Wrap(err, "question")
 	}
 	number := rand.Uint64() | 1
-	ch := make(chan json.RawMessage, 1)
+	reply := make(chan json.RawMessage, 1)
 	p.mu.Lock()
-	p.waiting[number] = ch
+	p.pending[number] = reply
 	p.mu.Unlock()
 	defer func() {
 		p.mu.Lock()
-		delete(p.waiting, number)
+		delete(p.pending, number)
 		p.mu.Unlock()
 	}()
 	for {
-		p.post(to, kind, datagram{Kind: kind, Number: number, Body: body})
+		p.sendMessage(to, kind, datagram{Kind: kind, Number: number, Body: body})
 		select {
 		case <-ctx.Done():
 			return ErrNoAnswer
-		case got := <-ch:
+		case got := <-reply:
 			return json.Unmarshal(got, out)
 		case <-p.clock.After(resend):
 		}
 	}
 }
 
-// TellAll sends a message that has no answer to all daemons that are alive. In a large
-// fleet the hubs pass it on: a holder of orders that told 294 daemons of each adapter
-// itself would have time for nothing else. It may be lost.
+// TellAll sends a message that expects no reply to all reachable peers; it may be lost.
+// In a large fleet the hubs forward it: if the holder of the lease of orders sent each
+// adapter to 294 daemons itself, it would have no time for its other work.
 func (p *Peers) TellAll(kind string, message any) {
 	body := p.marshal(message)
 	if body == nil {
@@ -118,31 +122,31 @@
 	}
 	d := datagram{Kind: kind, Body: body}
 	if !p.Large() {
-		p.postAll(p.Alive()[1:], kind, d)
+		p.sendToAll(p.Alive()[1:], kind, d)
 		return
 	}
 	p.mu.Lock()
 	now := p.clock.Now()
 	hubs, group := p.peersOf(p.roster.Hubs(now)), p.peersOf(p.roster.Group(now))
 	p.mu.Unlock()
-	p.postAll(group, kind, d)
-	d.Pass = true
-	p.postAll(hubs, kind, d)
+	p.sendToAll(group, kind, d)
+	d.Forward = true
+	p.sendToAll(hubs, kind, d)
 }
 
-// pass gives a message for all on to this hub's group.
-func (p *Peers) pass(d datagram) {
-	d.Pass = false
+// forwardToGroup sends a broadcast message on to this hub's group, except to its sender.
+func (p *Peers) forwardToGroup(d datagram) {
+	d.Forward = false
 	p.mu.Lock()
 	group := p.peersOf(p.roster.Group(p.clock.Now()))
 	p.mu.Unlock()
-	group = slices.DeleteFunc(group, func(one Peer) bool { return one.Name == d.From })
-	p.postAll(group, d.Kind, d)
+	group = slices.DeleteFunc(group, func(peer Peer) bool { return peer.Name == d.From })
+	p.sendToAll(group, d.Kind, d)
 }
 
-// Tell sends a message that has no answer. It may be lost.
+// Tell sends a message that expects no reply; it may be lost.
 func (p *Peers) Tell(to Peer, kind string, message any) {
 	if body := p.marshal(message); body != nil {
-		p.post(to, kind, datagram{Kind: kind, Body: body})
+		p.sendMessage(to, kind, datagram{Kind: kind, Body: body})
 	}
 }
--- a/coordination/peers/beat.go
+++ b/coordination/peers/beat.go
@@ -12,87 +12,90 @@
 	"primroseward/io/logs"
 )
 
-// greet tells a daemon that has just started of this one, so that it needs to wait
-// for no turn to find one that can give it its copies.
-func (p *Peers) greet(to Peer) {
-	p.send(to, kindBeat, p.beat(false))
+// sendHeartbeat sends a heartbeat to a peer that has just started, so that it finds a
+// daemon to fetch snapshots from without waiting for the next interval.
+func (p *Peers) sendHeartbeat(to Peer) {
+	p.send(to, kindHeartbeat, p.encodeHeartbeat(false))
 }
 
-// beat writes this daemon's beat as of now; fresh is for one that has just started. All
-// of its parts can be written.
-func (p *Peers) beat(fresh bool) []byte {
-	loads, usage, state := p.loads(), p.usage(), p.state()
+// encodeHeartbeat encodes this daemon's current heartbeat; started marks the first one
+// after its start. Encoding can't fail, as all parts of a heartbeat can be encoded.
+func (p *Peers) encodeHeartbeat(started bool) []byte {
+	loads, usage, state := p.ownLoads(), p.ownUsage(), p.state()
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.self.State = state
 	if p.large() {
 		loads, usage = nil, nil
 	}
-	return p.marshal(datagram{Beat: &beat{Peer: p.self, Loads: loads, Usage: usage, New: fresh}})
+	return p.marshal(datagram{Heartbeat: &heartbeat{Peer: p.self, Loads: loads, Usage: usage, Started: started}})
 }
 
-// tellNow tells others of this daemon out of turn, those of other places if far is set.
-func (p *Peers) tellNow(far bool) {
+// sendNow sends this daemon's state without waiting for the next interval, to other data
+// centres only if remote is set. In a large fleet it goes to the hubs.
+func (p *Peers) sendNow(remote bool) {
 	if p.Large() {
-		p.tellHubs(true)
+		p.reportToHubs(true)
 		return
 	}
-	p.tell(far)
+	p.sendHeartbeats(remote)
 }
 
-// tell tells the daemons of this place, and those of other places if far is set.
-func (p *Peers) tell(far bool) {
-	data := p.beat(false)
-	for _, to := range p.due(far) {
-		p.send(to, kindBeat, data)
+// sendHeartbeats sends a heartbeat to the peers of this data centre, and to those of other
+// data centres if remote is set.
+func (p *Peers) sendHeartbeats(remote bool) {
+	data := p.encodeHeartbeat(false)
+	for _, to := range p.heartbeatTargets(remote) {
+		p.send(to, kindHeartbeat, data)
 	}
 }
 
-// due are the daemons to tell, with those left out that have been silent for long.
-func (p *Peers) due(far bool) []Peer {
+// heartbeatTargets returns the peers of this data centre, and those of other data centres
+// if remote is set. It drops those that have been unreachable for forgetAfter.
+func (p *Peers) heartbeatTargets(remote bool) []Peer {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	now := p.clock.Now()
 	var out []Peer
 	for name, k := range p.known {
-		if p.miss(now, name, k) {
+		if p.checkReachable(now, name, k) {
 			continue
 		}
-		if far || k.Place == p.self.Place {
+		if remote || k.Place == p.self.Place {
 			out = append(out, k.Peer)
 		}
 	}
 	return out
 }
 
-// logHeard tells that a daemon that was silent is heard.
-func (p *Peers) logHeard(k *known) {
-	if k.silent && k.met {
+// logReachable logs that a peer that was unreachable is reachable again.
+func (p *Peers) logReachable(k *knownPeer) {
+	if k.silent && k.reached {
 		p.log.Info(logs.DaemonHeard, zap.String("other", k.Name))
 	}
 }
 
-// miss notes that a daemon is silent, and forgets one that has been for long, which it
-// says. The caller holds the lock.
-func (p *Peers) miss(now time.Time, name string, k *known) (forgotten bool) {
-	if now.Sub(k.heard) > forgetAfter {
+// checkReachable logs when a peer becomes unreachable, and forgets it after forgetAfter,
+// in which case it returns true. The caller holds the lock.
+func (p *Peers) checkReachable(now time.Time, name string, k *knownPeer) (forgotten bool) {
+	if now.Sub(k.lastSeen) > forgetAfter {
 		delete(p.known, name)
 		p.roster.Forget(name)
 		return true
 	}
 	if !k.alive(now) && !k.silent {
 		k.silent = true
-		p.log.Info(logs.DaemonSilent, zap.String("other", name), zap.Uint64("term", k.Term), zap.Duration("for", now.Sub(k.heard)))
+		p.log.Info(logs.DaemonSilent, zap.String("other", name), zap.Uint64("term", k.Term), zap.Duration("for", now.Sub(k.lastSeen)))
 	}
 	return false
 }
 
 func (p *Peers) send(to Peer, kind string, data []byte) {
-	p.count(kind, to.Place == p.self.Place, len(data)) // a place never changes
-	p.sendTo(to.Peer, data)
+	p.onSend(kind, to.Place == p.self.Place, len(data)) // Place never changes, so no lock is needed
+	p.write(to.Peer, data)
 }
 
-func (p *Peers) sendTo(to netip.AddrPort, data []byte) {
+func (p *Peers) write(to netip.AddrPort, data []byte) {
 	if _, err := p.conn.WriteToUDPAddrPort(data, to); err != nil && !errors.Is(err, net.ErrClosed) {
 		p.log.Debug(logs.DatagramUnsent, zap.Stringer("to", to), logs.Err(err))
 	}
@@ -110,53 +113,55 @@
 			p.log.Debug(logs.DatagramUnread, logs.Err(err))
 			continue
 		}
-		if n > 0 && buf[0] != '{' {
-			p.takeRoster(from, buf[:n])
+		if n > 0 && buf[0] != '{' { // not JSON: a datagram of package roster
+			p.receiveRoster(from, buf[:n])
 			continue
 		}
 		var d datagram
-		if err := json.Unmarshal(buf[:n], &d); err != nil || d.Beat == nil && d.From == "" {
+		if err := json.Unmarshal(buf[:n], &d); err != nil || d.Heartbeat == nil && d.From == "" {
 			p.log.Warn(logs.DatagramUnreadable, logs.Err(err))
 			continue
 		}
-		p.take(from, d)
+		p.receive(from, d)
 	}
 }
 
-func (p *Peers) take(from netip.AddrPort, d datagram) {
-	if d.Beat != nil {
-		if !p.note(d.Beat) {
+// receive handles a heartbeat, a request for one, a message or a reply.
+func (p *Peers) receive(from netip.AddrPort, d datagram) {
+	if d.Heartbeat != nil {
+		if !p.receiveHeartbeat(d.Heartbeat) {
 			return
 		}
-		p.heard(d.Beat.Peer, d.Beat.Loads)
-		if d.Beat.New {
-			p.greet(d.Beat.Peer)
+		p.onLoads(d.Heartbeat.Peer, d.Heartbeat.Loads)
+		if d.Heartbeat.Started {
+			p.sendHeartbeat(d.Heartbeat.Peer)
 		}
 		return
 	}
 	switch {
 	case d.Kind == kindWho:
-		p.sendTo(from, p.beat(false))
+		p.write(from, p.encodeHeartbeat(false))
 	case d.Kind != "":
-		p.answer(from, d)
-		if d.Pass {
-			p.pass(d)
+		p.handleMessage(from, d)
+		if d.Forward {
+			p.forwardToGroup(d)
 		}
 	case d.Number != 0:
 		p.mu.Lock()
-		ch := p.waiting[d.Number]
-		delete(p.waiting, d.Number)
+		reply := p.pending[d.Number]
+		delete(p.pending, d.Number)
 		p.mu.Unlock()
-		if ch != nil {
-			ch <- d.Body
+		if reply != nil {
+			reply <- d.Body
 		}
 	}
 }
 
-// note takes in a daemon's word of itself. One of a process that has been
-// replaced since is dropped, unless the newer one is silent: a process that
+// receiveHeartbeat records a peer's heartbeat and returns whether it was accepted. One
+// with a smaller boot number than the last is from a process that has been replaced, and
+// is dropped, unless the newer process has been silent for aliveTimeout: a process that
 // starts after its clock was set back has the smaller number.
-func (p *Peers) note(b *beat) bool {
+func (p *Peers) receiveHeartbeat(b *heartbeat) bool {
 	from := b.Peer
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -165,19 +170,19 @@
 	}
 	now := p.clock.Now()
 	k, ok := p.known[from.Name]
-	if ok && k.Boot > from.Boot && now.Sub(k.heard) < aliveFor {
+	if ok && k.Boot > from.Boot && now.Sub(k.lastSeen) < aliveTimeout {
 		return false
 	}
 	if !ok {
 		p.log.Info(logs.DaemonFound, zap.String("other", from.Name), zap.Stringer("caller", from.Caller))
-		k = &known{}
+		k = &knownPeer{}
 		p.known[from.Name] = k
 	}
 	if ok && k.Leaving != from.Leaving {
 		p.log.Info(logs.DaemonChanged, zap.String("other", from.Name), zap.Bool("leaving", from.Leaving))
 	}
-	p.logHeard(k)
-	k.Peer, k.heard, k.silent, k.met, k.usage = from, now, false, true, b.Usage
+	p.logReachable(k)
+	k.Peer, k.lastSeen, k.silent, k.reached, k.usage = from, now, false, true, b.Usage
 	p.roster.Know(now, from.daemon())
 	return true
 }
--- a/coordination/peers/find.go
+++ b/coordination/peers/find.go
@@ -13,22 +13,24 @@
 	"primroseward/io/logs"
 )
 
-// runFind registers this daemon in the store and reads who else is there.
-func (p *Peers) runFind(ctx context.Context) {
+// runDiscovery registers this daemon in the store and reads the other daemons' objects,
+// and retries until both have succeeded.
+func (p *Peers) runDiscovery(ctx context.Context) {
 	defer p.wg.Done()
 	for ctx.Err() == nil {
-		err := p.find(ctx)
+		err := p.discover(ctx)
 		if err == nil {
 			return
 		}
 		p.log.Warn(logs.DaemonsNotFound, logs.Err(err))
-		core.Sleep(ctx, p.clock, findEvery/2+rand.N(findEvery))
+		core.Sleep(ctx, p.clock, discoveryRetry/2+rand.N(discoveryRetry))
 	}
 }
 
-// find registers first and lists then. Of two daemons that start together the
-// one that registers last finds the other, and its datagrams tell it.
-func (p *Peers) find(ctx context.Context) error {
+// discover registers this daemon first and lists the others then: of two daemons that
+// start together, the one that registers last lists the other, which finds it by its
+// heartbeat.
+func (p *Peers) discover(ctx context.Context) error {
 	if err := p.register(ctx); err != nil {
 		return eris.Wrap(err, "register")
 	}
@@ -38,23 +40,23 @@
 	}
 	p.mu.Lock()
 	for _, o := range objects {
-		var one Peer
-		if err := json.Unmarshal(o.Body, &one); err != nil {
+		var peer Peer
+		if err := json.Unmarshal(o.Body, &peer); err != nil {
 			p.log.Error(logs.DaemonUnreadable, zap.String("other", o.Name), logs.Err(err))
 			continue
 		}
-		if one.Name == p.self.Name || p.known[one.Name] != nil {
+		if peer.Name == p.self.Name || p.known[peer.Name] != nil {
 			continue
 		}
 		now := p.clock.Now()
-		p.known[one.Name] = &known{Peer: one, heard: now.Add(-aliveFor), silent: true}
-		p.roster.Know(now, one.daemon())
+		p.known[peer.Name] = &knownPeer{Peer: peer, lastSeen: now.Add(-aliveTimeout), silent: true}
+		p.roster.Know(now, peer.daemon())
 	}
-	p.found = true
+	p.discovered = true
 	p.mu.Unlock()
-	data := p.beat(true)
+	data := p.encodeHeartbeat(true)
 	for _, to := range p.contacts() {
-		p.send(to, kindBeat, data)
+		p.send(to, kindHeartbeat, data)
 	}
 	return nil
 }
@@ -70,22 +72,22 @@
 	if !errors.Is(err, core.ErrExists) {
 		return err
 	}
-	old, err := p.store.Get(ctx, p.kind, self.Name)
+	stored, err := p.store.Get(ctx, p.kind, self.Name)
 	if err != nil {
 		return err
 	}
-	var was Peer
-	if json.Unmarshal(old.Body, &was) == nil && was.Peer == self.Peer && was.Caller == self.Caller {
+	var old Peer
+	if json.Unmarshal(stored.Body, &old) == nil && old.Peer == self.Peer && old.Caller == self.Caller {
 		return nil
 	}
-	old.Body = body
-	_, err = p.store.Update(ctx, old)
+	stored.Body = body
+	_, err = p.store.Update(ctx, stored)
 	return err
 }
 
-// Unregister removes this daemon's object, so that daemons that start later do
-// not look for it. Objects of daemons that were killed stay; a daemon that reads
-// one forgets it after a while of silence.
+// Unregister deletes this daemon's object, so that daemons that start later do not send
+// to it. Objects of daemons that were killed stay in the store; a daemon that reads one
+// forgets that peer after it has been unreachable for forgetAfter.
 func (p *Peers) Unregister(ctx context.Context) error {
 	o, err := p.store.Get(ctx, p.kind, p.Self().Name)
 	if errors.Is(err, core.ErrNotFound) {
--- a/coordination/peers/fleet.go
+++ b/coordination/peers/fleet.go
@@ -15,50 +15,50 @@
 	"primroseward/io/logs"
 )
 
-// Kinds of datagrams beside those of handlers.
+// Kinds of datagrams other than those that are set with Handle.
 const (
-	kindBeat   = "beat"
-	kindAnswer = "answer"
-	// kindWho asks a daemon that is not known for its beat.
+	kindHeartbeat = "beat"
+	kindReply     = "answer"
+	// kindWho requests the heartbeat of a daemon whose addresses are not known.
 	kindWho = "who"
-	// kindNames asks a hub for daemons by their codes.
-	kindNames = "names"
-	// batch is how many datagrams are sent at once, batchPause the time until more are:
-	// two packets for each of 64 daemons are sent within a third of a turn.
-	batch      = 12
+	// kindLookup requests the addresses of daemons from a hub, by the codes of their names.
+	kindLookup = "names"
+	// batchSize is how many queued datagrams are sent without a pause, batchPause the pause
+	// that follows: two packets for each of 64 daemons are sent within a third of an interval.
+	batchSize  = 12
 	batchPause = 5 * time.Millisecond
-	// maxOut bounds the datagrams in line: two turns of a hub.
-	maxOut = 512
-	// namesLimit and namesResend are for the answer of a hub, of some two packets.
-	namesLimit  = 500 * time.Millisecond
-	namesResend = 200 * time.Millisecond
+	// maxQueued bounds the queued datagrams: what a hub sends in two intervals.
+	maxQueued = 512
+	// lookupTimeout and lookupResend allow for the reply of a hub, of about two packets.
+	lookupTimeout = 500 * time.Millisecond
+	lookupResend  = 200 * time.Millisecond
 )
 
-// Change is the last change of what daemons read from the store that a group knows: one of
-// its fields is set.
+// Change is the last change of one kind of the store's objects that a group has received:
+// one field of Changes is set.
 type Change struct {
 	core.Changes
-	Source string // a daemon that knows it
+	Source string // name of a daemon that has the change
 }
 
-// News is what the hub of a group of daemons tells of it.
+// News is the summary that a hub sends of its group.
 type News struct {
 	Place     string
 	Changes   []Change
-	Settings  uint64        // the last change of them that the group knows
-	Confirmed time.Duration // since the settings were known to be the newest; below 0: never
+	Settings  uint64        // version of the last change of the settings that the group has received
+	Confirmed time.Duration // since the settings were confirmed to be the store's newest; below 0: never
 	Down      []core.Code   // runners that have refused connections
 }
 
-// daemon is a Peer as the roster knows it.
-func (one Peer) daemon() roster.Daemon {
-	tag := uint8(xxhash.Sum64String(one.Caller.String() + " " + one.Peer.String()))
-	return roster.Daemon{Name: one.Name, Place: one.Place, Boot: one.Boot, Tag: tag, Cores: one.Cores}
+// daemon returns the peer's fixed properties as package roster keeps them.
+func (peer Peer) daemon() roster.Daemon {
+	tag := uint8(xxhash.Sum64String(peer.Caller.String() + " " + peer.Peer.String()))
+	return roster.Daemon{Name: peer.Name, Place: peer.Place, Boot: peer.Boot, Tag: tag, Cores: peer.Cores}
 }
 
-// word is what this daemon reports to its hubs; it is made without the lock.
-func (p *Peers) word() roster.Word {
-	state, loads, usage := p.state(), p.loads(), p.usage()
+// report returns what this daemon reports to its hubs. The caller must not hold the lock.
+func (p *Peers) report() roster.Word {
+	state, loads, usage := p.state(), p.ownLoads(), p.ownUsage()
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.self.State = state
@@ -68,42 +68,44 @@
 	}
 }
 
-// tellHubs reports to the hubs, and tells the group and the other hubs where this daemon
-// is one; at once is for what must be known soon.
-func (p *Peers) tellHubs(atOnce bool) {
-	word := p.word()
+// reportToHubs sends this daemon's report to its hubs and, if it acts as a hub, summaries
+// to its group and to the other hubs. With urgent it sends only what must not wait for the
+// next interval.
+func (p *Peers) reportToHubs(urgent bool) {
+	report := p.report()
 	p.mu.Lock()
 	now := p.clock.Now()
 	var messages []roster.Message
-	if atOnce {
-		messages = p.roster.Nudge(now, word)
+	if urgent {
+		messages = p.roster.Nudge(now, report)
 	} else {
-		messages = p.roster.Tick(now, word)
+		messages = p.roster.Tick(now, report)
 	}
-	others, peers := p.roster.Others(), p.addressed(messages)
-	p.logActing(now)
-	p.refresh(now)
+	loads, peers := p.roster.Others(), p.recipients(messages)
+	p.logHubRole(now)
+	p.refreshStates(now)
 	for name, k := range p.known {
-		p.miss(now, name, k)
+		p.checkReachable(now, name, k)
 	}
 	p.mu.Unlock()
-	p.sendAll(messages, peers)
-	p.heard(Peer{}, others)
+	p.enqueue(messages, peers)
+	p.onLoads(Peer{}, loads)
 }
 
-// logActing tells when this daemon begins or ends to act as a hub; the caller holds the
+// logHubRole logs when this daemon starts or stops acting as a hub. The caller holds the
 // lock.
-func (p *Peers) logActing(now time.Time) {
-	acts, members := p.roster.Acts(now)
-	if acts == p.acting {
+func (p *Peers) logHubRole(now time.Time) {
+	acts, reports := p.roster.Acts(now)
+	if acts == p.actsAsHub {
 		return
 	}
-	p.acting = acts
-	p.log.Info(logs.HubChanged, zap.Bool("acting", acts), zap.Int("reports", members))
+	p.actsAsHub = acts
+	p.log.Info(logs.HubChanged, zap.Bool("acting", acts), zap.Int("reports", reports))
 }
 
-// addressed returns the daemons that messages are for; the caller holds the lock.
-func (p *Peers) addressed(messages []roster.Message) []Peer {
+// recipients returns the peers that messages go to, in the same order; one that is not
+// known is the zero Peer. The caller holds the lock.
+func (p *Peers) recipients(messages []roster.Message) []Peer {
 	if len(messages) == 0 {
 		return nil
 	}
@@ -116,7 +118,8 @@
 	return out
 }
 
-// peersOf returns the daemons that codes are of; the caller holds the lock.
+// peersOf returns the peers with the given codes, without those that are not known. The
+// caller holds the lock.
 func (p *Peers) peersOf(codes []core.Code) []Peer {
 	out := make([]Peer, 0, len(codes))
 	for _, code := range codes {
@@ -127,201 +130,207 @@
 	return out
 }
 
-// outgoing is a datagram that waits to be sent.
-type outgoing struct {
+// queued is a datagram that waits to be sent.
+type queued struct {
 	to   Peer
 	kind string
 	data []byte
 }
 
-// sendAll puts messages in line to be sent: the one that reads must not wait for them, as
-// reports would overflow its socket meanwhile. What does not fit is told again next turn.
-func (p *Peers) sendAll(messages []roster.Message, to []Peer) {
+// enqueue queues messages for runSend. The reading goroutine must not wait until they are
+// sent, as reports would overflow its socket buffer meanwhile. Messages that do not fit
+// into the queue are dropped; the next interval sends their content again.
+func (p *Peers) enqueue(messages []roster.Message, to []Peer) {
 	for i, m := range messages {
 		if !to[i].Peer.IsValid() {
 			continue
 		}
 		select {
-		case p.out <- outgoing{to[i], m.Kind, m.Data}:
+		case p.sendQueue <- queued{to[i], m.Kind, m.Data}:
 		default:
 			p.log.Debug(logs.DatagramUnsent, zap.Stringer("to", to[i].Peer))
 		}
 	}
 }
 
-// runSend sends what hubs tell, in batches: digests to fifty daemons at once are more than
-// the queue of a link of 20 Mbit/s takes, and those at the end would get lost.
+// runSend sends the queued datagrams of hubs in batches: summaries to fifty daemons at
+// once exceed the queue of a link of 20 Mbit/s, and the last ones would be lost.
 func (p *Peers) runSend(ctx context.Context) {
 	defer p.wg.Done()
 	for n := 1; ; n++ {
 		select {
 		case <-ctx.Done():
 			return
-		case one := <-p.out:
-			p.send(one.to, one.kind, one.data)
+		case q := <-p.sendQueue:
+			p.send(q.to, q.kind, q.data)
 		}
-		if n%batch == 0 {
+		if n%batchSize == 0 {
 			core.Sleep(ctx, p.clock, batchPause)
 		}
 	}
 }
 
-// refresh brings the daemons' states in line with what the hubs have told; the caller
-// holds the lock.
-func (p *Peers) refresh(now time.Time) {
+// refreshStates updates the peers' states from the summaries of the hubs. The caller holds
+// the lock.
+func (p *Peers) refreshStates(now time.Time) {
 	for _, k := range p.known {
 		k.listed = false
 	}
 	p.roster.Each(now, func(code core.Code, s roster.Status) {
 		if k := p.known[p.roster.Name(code)]; k != nil {
-			p.listed(now, k, s)
+			p.setStatus(now, k, s)
 		}
 	})
 }
 
-// listed takes in a daemon's state as a hub has told it; the caller holds the lock.
-func (p *Peers) listed(now time.Time, k *known, s roster.Status) {
+// setStatus updates a peer's state from a hub's summary. The caller holds the lock.
+func (p *Peers) setStatus(now time.Time, k *knownPeer, s roster.Status) {
 	if k.Leaving != s.Leaving {
 		p.log.Info(logs.DaemonChanged, zap.String("other", k.Name), zap.Bool("leaving", s.Leaving))
 	}
-	p.logHeard(k)
-	k.listed, k.heard, k.silent, k.met, k.Leaving = true, now, false, true, s.Leaving
+	p.logReachable(k)
+	k.listed, k.lastSeen, k.silent, k.reached, k.Leaving = true, now, false, true, s.Leaving
 	k.State = State{Ready: s.Ready, Failing: s.Failing, Term: s.Term, Fresh: s.Fresh, Knows: core.Changes{Settings: s.Settings}, Confirmed: s.Confirmed}
 }
 
-// takeRoster takes in a datagram of a hub, or one for this daemon as a hub.
-func (p *Peers) takeRoster(from netip.AddrPort, data []byte) {
+// receiveRoster handles a datagram of package roster: a hub's summary, or a report to this
+// daemon as a hub.
+func (p *Peers) receiveRoster(from netip.AddrPort, data []byte) {
 	p.mu.Lock()
 	now := p.clock.Now()
-	messages, told, err := p.roster.Take(now, data)
-	peers := p.addressed(messages)
-	var others map[core.Code]int
-	if len(told) > 0 {
-		p.refresh(now)
-		others = p.roster.Others()
+	messages, received, err := p.roster.Take(now, data)
+	peers := p.recipients(messages)
+	var loads map[core.Code]int
+	if len(received) > 0 {
+		p.refreshStates(now)
+		loads = p.roster.Others()
 	}
 	if p.roster.HasUnknown(now) {
 		select {
-		case p.strangers <- struct{}{}:
-		default: // they are being asked for
+		case p.lookup <- struct{}{}:
+		default: // a lookup is pending
 		}
 	}
-	news := p.news(told)
+	summaries := p.summaries(received)
 	p.mu.Unlock()
 	switch {
 	case errors.Is(err, roster.ErrUnknown):
-		p.askWho(from)
+		p.requestHeartbeat(from)
 		return
 	case err != nil:
 		p.log.Warn(logs.DatagramUnreadable, logs.Err(err))
 		return
 	}
-	p.sendAll(messages, peers)
-	if others != nil {
-		p.heard(Peer{}, others)
+	p.enqueue(messages, peers)
+	if loads != nil {
+		p.onLoads(Peer{}, loads)
 	}
-	for _, n := range news {
-		p.told(n)
+	for _, s := range summaries {
+		p.onSummary(s)
 	}
 }
 
-// news gives the sources of news their names; the caller holds the lock.
-func (p *Peers) news(told []roster.News) []News {
-	out := make([]News, 0, len(told))
-	for _, n := range told {
-		one := News{Place: n.Place, Settings: n.Knows.Settings, Confirmed: n.Confirmed, Down: n.Down}
+// summaries converts summaries of package roster and resolves the codes of their sources
+// to names; a change whose source is not known is left out. The caller holds the lock.
+func (p *Peers) summaries(received []roster.News) []News {
+	out := make([]News, 0, len(received))
+	for _, r := range received {
+		summary := News{Place: r.Place, Settings: r.Knows.Settings, Confirmed: r.Confirmed, Down: r.Down}
 		for _, c := range []struct {
 			change core.Changes
 			source core.Code
 		}{
-			{core.Changes{Config: n.Knows.Config}, n.Sources.Config},
-			{core.Changes{Runners: n.Knows.Runners}, n.Sources.Runners},
-			{core.Changes{Settings: n.Knows.Settings}, n.Sources.Settings},
+			{core.Changes{Config: r.Knows.Config}, r.Sources.Config},
+			{core.Changes{Runners: r.Knows.Runners}, r.Sources.Runners},
+			{core.Changes{Settings: r.Knows.Settings}, r.Sources.Settings},
 		} {
 			if name := p.roster.Name(c.source); name != "" {
-				one.Changes = append(one.Changes, Change{c.change, name})
+				summary.Changes = append(summary.Changes, Change{c.change, name})
 			}
 		}
-		out = append(out, one)
+		out = append(out, summary)
 	}
 	return out
 }
 
-// askWho asks a daemon that is not known, or that has other addresses now, for its beat.
-func (p *Peers) askWho(addr netip.AddrPort) {
+// requestHeartbeat requests the heartbeat of a daemon that is not known, or whose
+// addresses have changed.
+func (p *Peers) requestHeartbeat(addr netip.AddrPort) {
 	if data := p.encode(datagram{Kind: kindWho}); data != nil {
-		p.sendTo(addr, data)
+		p.write(addr, data)
 	}
 }
 
-// contacts are the daemons that this one tells of itself when it starts.
+// contacts returns the peers to which this daemon sends its first heartbeat.
 func (p *Peers) contacts() []Peer {
 	if !p.Large() {
-		return p.due(true)
+		return p.heartbeatTargets(true)
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.peersOf(p.roster.Contacts())
 }
 
-// runNames asks hubs for the daemons that they name and that are not known here.
-func (p *Peers) runNames(ctx context.Context) {
+// runLookup requests the addresses of daemons that a hub's summary lists and that are not
+// known here.
+func (p *Peers) runLookup(ctx context.Context) {
 	defer p.wg.Done()
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case <-p.strangers:
+		case <-p.lookup:
 		}
-		for p.askNames(ctx) {
+		for p.lookUpUnknown(ctx) {
 		}
 	}
 }
 
-// askNames asks for some daemons, and says whether any came.
-func (p *Peers) askNames(ctx context.Context) bool {
+// lookUpUnknown requests the addresses of some unknown daemons from a hub, and returns
+// whether it got any.
+func (p *Peers) lookUpUnknown(ctx context.Context) bool {
 	p.mu.Lock()
-	ask, codes := p.roster.Unknown(p.clock.Now())
-	to := p.peersOf([]core.Code{ask})
+	hub, codes := p.roster.Unknown(p.clock.Now())
+	to := p.peersOf([]core.Code{hub})
 	p.mu.Unlock()
 	if len(codes) == 0 || len(to) == 0 {
 		return false
 	}
-	ctx, cancel := context.WithTimeout(ctx, namesLimit)
+	ctx, cancel := context.WithTimeout(ctx, lookupTimeout)
 	defer cancel()
 	var got []Peer
-	if err := p.Ask(ctx, to[0], kindNames, codes, &got, namesResend); err != nil {
+	if err := p.Ask(ctx, to[0], kindLookup, codes, &got, lookupResend); err != nil {
 		p.log.Debug(logs.DaemonUnknown, zap.String("hub", to[0].Name), logs.Err(err))
 		return false
 	}
-	for _, one := range got {
-		p.meet(one)
+	for _, peer := range got {
+		p.setAddresses(peer)
 	}
 	return len(got) > 0
 }
 
-// meet takes in what another daemon has told of one that is not known, or that has other
-// addresses than were known.
-func (p *Peers) meet(one Peer) {
+// setAddresses records a peer that another daemon has described, either a new one or one
+// whose addresses may have changed. Its state is kept.
+func (p *Peers) setAddresses(peer Peer) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if one.Name == p.self.Name || one.Name == "" {
+	if peer.Name == p.self.Name || peer.Name == "" {
 		return
 	}
 	now := p.clock.Now()
-	k := p.known[one.Name]
+	k := p.known[peer.Name]
 	if k == nil {
-		p.log.Info(logs.DaemonFound, zap.String("other", one.Name), zap.Stringer("caller", one.Caller))
-		k = &known{heard: now.Add(-aliveFor), silent: true}
-		p.known[one.Name] = k
+		p.log.Info(logs.DaemonFound, zap.String("other", peer.Name), zap.Stringer("caller", peer.Caller))
+		k = &knownPeer{lastSeen: now.Add(-aliveTimeout), silent: true}
+		p.known[peer.Name] = k
 	}
-	one.State = k.State
-	k.Peer = one
-	p.roster.Know(now, one.daemon())
+	peer.State = k.State
+	k.Peer = peer
+	p.roster.Know(now, peer.daemon())
 }
 
-// handleNames answers with what is known of daemons.
-func (p *Peers) handleNames(_ Peer, body json.RawMessage, answer func(any)) {
+// handleLookup replies with those of the requested daemons that are known here.
+func (p *Peers) handleLookup(_ Peer, body json.RawMessage, reply func(any)) {
 	var codes []core.Code
 	if err := json.Unmarshal(body, &codes); err != nil {
 		p.log.Warn(logs.MessageUnreadable, logs.Err(err))
@@ -338,5 +347,5 @@
 		}
 	}
 	p.mu.Unlock()
-	answer(out)
+	reply(out)
 }
--- a/coordination/peers/fleet_test.go
+++ b/coordination/peers/fleet_test.go
@@ -14,17 +14,17 @@
 	"primroseward/standin/memory"
 )
 
-// large starts more daemons than a small fleet has, in two places; others are the sums
-// of loads that each was told.
-func large(t *testing.T, daemons int, heard func(i int, counts map[core.Code]int)) []*Peers {
+// newLargeFleet makes more daemons than a small fleet has, in two data centres. onLoads is
+// called with the index of a daemon and the sum of loads that it has received.
+func newLargeFleet(t *testing.T, daemons int, onLoads func(i int, counts map[core.Code]int)) []*Peers {
 	t.Helper()
 	s := memory.New()
 	out := make([]*Peers, daemons)
 	for i := range daemons {
 		loads := map[core.Code]int{core.CodeOf("r"): 1}
-		out[i] = start(t, s, fmt.Sprint("d", i), []string{"north", "south"}[i%2], loads, func(from Peer, counts map[core.Code]int) {
+		out[i] = newPeers(t, s, fmt.Sprint("d", i), []string{"north", "south"}[i%2], loads, func(from Peer, counts map[core.Code]int) {
 			if from.Name == "" {
-				heard(i, counts)
+				onLoads(i, counts)
 			}
 		})
 	}
@@ -34,14 +34,15 @@
 	return out
 }
 
-// More daemons than tell each other directly find each other by hubs, sum up their
-// loads, know the holder of the lease, hear what is told to all, and miss one that ends.
+// In a fleet too large for direct heartbeats, hubs make all daemons known to each other,
+// sum up their loads, make the holder of the lease known, forward broadcasts, and remove a
+// daemon that stops.
 func TestLargeFleet(t *testing.T) {
 	const daemons = smallFleet + 8
 	var mu sync.Mutex
 	sums := make([]int, daemons)
-	var told atomic.Int64
-	all := large(t, daemons, func(i int, counts map[core.Code]int) {
+	var received atomic.Int64
+	all := newLargeFleet(t, daemons, func(i int, counts map[core.Code]int) {
 		mu.Lock()
 		defer mu.Unlock()
 		sums[i] = counts[core.CodeOf("r")]
@@ -50,7 +51,7 @@
 	for _, p := range all {
 		p.Handle("news", func(from Peer, body json.RawMessage, _ func(any)) {
 			if from.Name == "d3" && string(body) == `"adapter"` {
-				told.Add(1)
+				received.Add(1)
 			}
 		})
 		p.Start()
@@ -69,30 +70,30 @@
 			if !p.Large() || p.Count() != daemons || !ok || holder.Name != "d3" || !holder.Fresh {
 				return false
 			}
-			for _, one := range p.Alive() {
-				if !one.Ready && one.Name != p.Self().Name {
+			for _, peer := range p.Alive() {
+				if !peer.Ready && peer.Name != p.Self().Name {
 					return false
 				}
 			}
 		}
 		return true
 	})
-	eventually(t, "the loads of the place are known", func() bool {
+	eventually(t, "the loads of the data centre are known", func() bool {
 		mu.Lock()
 		defer mu.Unlock()
 		for _, n := range sums {
-			if n != daemons/2-1 { // those of its place
+			if n != daemons/2-1 { // those of its data centre
 				return false
 			}
 		}
 		return true
 	})
 	all[3].TellAll("news", "adapter")
-	eventually(t, "all have heard", func() bool { return told.Load() >= daemons-1 })
+	eventually(t, "all have received the broadcast", func() bool { return received.Load() >= daemons-1 })
 	assert.NilError(t, all[5].Unregister(context.Background()))
 	all[5].Stop()
 	stopped[5] = true
-	eventually(t, "one that ended is missed", func() bool {
+	eventually(t, "the stopped daemon is unreachable everywhere", func() bool {
 		for i, p := range all {
 			if _, ok := p.Get("d5"); i != 5 && ok {
 				return false
@@ -102,11 +103,11 @@
 	})
 }
 
-// A VM is replaced by one of the same name at another address: callers must not be sent
-// to the old one.
-func TestDaemonWithAnotherAddress(t *testing.T) {
+// After a VM is replaced by one of the same name at another address, callers must not be
+// sent to the old address any more.
+func TestReplacedVMHasNewAddress(t *testing.T) {
 	const daemons = smallFleet + 4
-	all := large(t, daemons, func(int, map[core.Code]int) {})
+	all := newLargeFleet(t, daemons, func(int, map[core.Code]int) {})
 	for _, p := range all {
 		p.Start()
 		defer p.Stop()
@@ -119,20 +120,20 @@
 		}
 		return true
 	})
-	was := all[7]
-	was.Stop()
-	self := was.Self()
-	again := start(t, memory.New(), self.Name, self.Place, nil, nil)
-	again.store = was.store
-	again.self.Caller = self.Peer
-	again.roster.Know(again.clock.Now(), again.self.daemon())
-	again.SetState(func() State { return State{Ready: true, Confirmed: -1} })
-	again.Start()
-	defer again.Stop()
+	old := all[7]
+	old.Stop()
+	self := old.Self()
+	replacement := newPeers(t, memory.New(), self.Name, self.Place, nil, nil)
+	replacement.store = old.store
+	replacement.self.Caller = self.Peer
+	replacement.roster.Know(replacement.clock.Now(), replacement.self.daemon())
+	replacement.SetState(func() State { return State{Ready: true, Confirmed: -1} })
+	replacement.Start()
+	defer replacement.Stop()
 	eventually(t, "the new address is known everywhere", func() bool {
 		for i, p := range all {
-			one, ok := p.Get(self.Name)
-			if i != 7 && (!ok || one.Caller != self.Peer || one.Peer != again.Self().Peer) {
+			peer, ok := p.Get(self.Name)
+			if i != 7 && (!ok || peer.Caller != self.Peer || peer.Peer != replacement.Self().Peer) {
 				return false
 			}
 		}
--- a/coordination/peers/peers.go
+++ b/coordination/peers/peers.go
@@ -1,7 +1,6 @@
-// Package peers lets the daemons of a system know each other: who is alive,
-// ready and not leaving, and how many requests each has at which runner. A
-// daemon finds the others in the platform's store when it starts, and from
-// then on by their datagrams.
+// Package peers keeps track of the other daemons of the fleet: which are alive, ready and
+// not leaving, and how many requests each has in progress at each runner. A daemon lists
+// its peers in the platform's store when it starts; from then on they exchange datagrams.
 package peers
 
 import (
@@ -19,198 +18,203 @@
 )
 
 const (
-	// nearEvery and farEvery are how often a daemon tells those of its own
-	// place and of other places. Traffic between places is paid for.
-	nearEvery = 200 * time.Millisecond
-	farEvery  = 400 * time.Millisecond
-	// smallFleet is the size from which daemons tell each other by hubs (package
-	// roster). Up to it each tells each: the word is as young as can be, and sixteen
-	// daemons cost each other 80 datagrams a second.
+	// localInterval and remoteInterval are the heartbeat intervals to peers of the same
+	// and of other data centres. Traffic between data centres is paid for.
+	localInterval  = 200 * time.Millisecond
+	remoteInterval = 400 * time.Millisecond
+	// smallFleet is the largest number of daemons, this one included, that send heartbeats
+	// directly to each other, so that states are as recent as possible; sixteen daemons cost
+	// each other 80 datagrams a second. Larger fleets use hubs (package roster).
 	smallFleet = 16
-	// aliveFor is how long a daemon counts as alive after its last datagram:
-	// three that were sent to other places may be lost.
-	aliveFor = 1500 * time.Millisecond
-	// forgetAfter is how long a silent daemon is still told. One that was cut
-	// off alone would otherwise not be found again by those it has forgotten.
+	// aliveTimeout is how long a peer counts as alive after its last datagram: three
+	// heartbeats to another data centre may be lost.
+	aliveTimeout = 1500 * time.Millisecond
+	// forgetAfter is how long heartbeats are still sent to an unreachable peer. If a daemon
+	// alone was cut off and its peers had forgotten it, it would not be found again.
 	forgetAfter = 2 * time.Minute
-	// findEvery is the pause between two tries to register and to list the
-	// others, while the store fails.
-	findEvery   = 500 * time.Millisecond
-	maxDatagram = 60 << 10
+	// discoveryRetry is the mean pause between two attempts to register and to list the
+	// other daemons while the store fails.
+	discoveryRetry = 500 * time.Millisecond
+	maxDatagram    = 60 << 10
 )
 
-// Peer is a daemon as it tells of itself.
+// Peer is a daemon as it describes itself.
 type Peer struct {
 	Name    string         `json:"name"`
-	Place   string         `json:"place"`
-	Caller  netip.AddrPort `json:"caller"`          // that callers connect to
-	Peer    netip.AddrPort `json:"peer"`            // of datagrams
-	Boot    uint64         `json:"boot"`            // later ones are larger
-	Cores   float64        `json:"cores,omitempty"` // of a processor that it may use; 0: not known
+	Place   string         `json:"place"`           // data centre
+	Caller  netip.AddrPort `json:"caller"`          // address that callers connect to
+	Peer    netip.AddrPort `json:"peer"`            // address for datagrams of other daemons
+	Boot    uint64         `json:"boot"`            // number of the process; later processes have larger ones
+	Cores   float64        `json:"cores,omitempty"` // processor cores that it may use; 0: not known
 	Leaving bool           `json:"leaving,omitempty"`
 	State
 }
 
-// State is what changes of a daemon while it serves.
+// State is the part of a Peer that changes while the daemon serves.
 type State struct {
-	Ready     bool          `json:"ready,omitempty"`   // callers may be sent there
+	Ready     bool          `json:"ready,omitempty"`   // callers may be sent to it
 	Failing   bool          `json:"failing,omitempty"` // does not reach the store
-	Term      uint64        `json:"term,omitempty"`    // of the lease of orders, while it is held
-	Fresh     bool          `json:"fresh,omitempty"`   // the lease was renewed lately
-	Knows     core.Changes  `json:"knows"`             // the last changes that it knows; in a large fleet only of the settings
-	Down      []core.Code   `json:"down,omitempty"`    // runners that have refused its connections lately; not kept in a large fleet
-	Confirmed time.Duration `json:"confirmed"`         // since its settings were known to be the newest, below 0: never
+	Term      uint64        `json:"term,omitempty"`    // of the lease of orders, while it holds the lease
+	Fresh     bool          `json:"fresh,omitempty"`   // the lease was renewed recently
+	Knows     core.Changes  `json:"knows"`             // the last changes that it has received; in a large fleet only of the settings
+	Down      []core.Code   `json:"down,omitempty"`    // runners that have recently refused its connections; not kept in a large fleet
+	Confirmed time.Duration `json:"confirmed"`         // since its settings were confirmed to be the store's newest; below 0: never
 }
 
-// datagram is what daemons send each other: a beat, or a message between daemons
-// that know each other by their beats.
+// datagram is a JSON datagram between daemons: a heartbeat, a request for one, a message
+// or a reply. Messages are only accepted from peers whose addresses are known.
 type datagram struct {
-	Beat   *beat           `json:"beat,omitempty"`
-	From   string          `json:"from,omitempty"`   // of a message: the daemon's name
-	Kind   string          `json:"kind,omitempty"`   // of a question or of news
-	Number uint64          `json:"number,omitempty"` // joins an answer to its question
-	Body   json.RawMessage `json:"body,omitempty"`
-	Pass   bool            `json:"pass,omitempty"` // to the group of the hub that gets it
+	Heartbeat *heartbeat      `json:"beat,omitempty"`
+	From      string          `json:"from,omitempty"`   // name of the daemon that sent the message
+	Kind      string          `json:"kind,omitempty"`   // of a message; empty in a reply
+	Number    uint64          `json:"number,omitempty"` // matches a reply to its request; 0: no reply expected
+	Body      json.RawMessage `json:"body,omitempty"`
+	Forward   bool            `json:"pass,omitempty"` // the receiving hub forwards the message to its group
 }
 
-// beat is a daemon's word of itself.
-type beat struct {
+// heartbeat is a daemon's description of itself.
+type heartbeat struct {
 	Peer
-	Loads map[core.Code]int        `json:"loads,omitempty"` // requests in progress by runner; null: told by hubs
-	Usage map[core.Code]core.Usage `json:"usage,omitempty"` // of its callers by workspace; null: told by hubs
-	New   bool                     `json:"new,omitempty"`   // has just started and knows nobody
+	Loads   map[core.Code]int        `json:"loads,omitempty"` // requests in progress by runner; null: reported to hubs instead
+	Usage   map[core.Code]core.Usage `json:"usage,omitempty"` // of its callers by workspace; null: reported to hubs instead
+	Started bool                     `json:"new,omitempty"`   // has just started and has received nothing yet
 }
 
-type known struct {
+type knownPeer struct {
 	Peer
-	heard  time.Time
-	listed bool // by a hub, as alive
-	silent bool // its silence has been logged, or it has not been heard yet
-	met    bool // it has been heard
-	usage  map[core.Code]core.Usage
+	lastSeen time.Time // when its last heartbeat or a hub's summary that lists it was received
+	listed   bool      // as alive in a hub's summary
+	silent   bool      // logged as unreachable, or nothing received yet
+	reached  bool      // has been reachable before
+	usage    map[core.Code]core.Usage
 }
 
-// Handler answers a question of another daemon. It must not block.
+// Handler handles a message of a peer; answer sends the reply to a request. It must not
+// block.
 type Handler func(from Peer, body json.RawMessage, answer func(any))
 
-// Peers is a daemon's view of the others.
+// Peers is a daemon's view of the other daemons.
 type Peers struct {
-	store core.Platform
-	kind  string
-	conn  *net.UDPConn
-	clock core.Clock
-	log   *zap.Logger
-	loads func() map[core.Code]int
-	heard func(from Peer, counts map[core.Code]int)
-	told  func(News)
-	count func(kind string, near bool, bytes int)
-	usage func() map[core.Code]core.Usage
-	users func(heard, known int, others map[core.Code]core.Usage)
-	state func() State
-
-	mu       sync.Mutex
-	self     Peer
-	known    map[string]*known
-	handlers map[string]Handler
-	waiting  map[uint64]chan json.RawMessage
-	found    bool
-	roster   *roster.Roster // used in a large fleet
-	acting   bool           // as a hub
-	out      chan outgoing  // to daemons of a large fleet
-	// strangers tells that a hub has named daemons that are not known.
-	strangers chan struct{}
+	store     core.Platform
+	kind      string // of the daemons' objects in the store
+	conn      *net.UDPConn
+	clock     core.Clock
+	log       *zap.Logger
+	ownLoads  func() map[core.Code]int
+	onLoads   func(from Peer, counts map[core.Code]int)
+	onSummary func(News)
+	onSend    func(kind string, sameDataCentre bool, bytes int)
+	ownUsage  func() map[core.Code]core.Usage
+	onUsage   func(reachable, known int, usage map[core.Code]core.Usage)
+	state     func() State
+
+	mu         sync.Mutex
+	self       Peer
+	known      map[string]*knownPeer // by name
+	handlers   map[string]Handler    // by kind of message
+	pending    map[uint64]chan json.RawMessage
+	discovered bool
+	roster     *roster.Roster // used in a large fleet
+	actsAsHub  bool
+	sendQueue  chan queued // for peers of a large fleet
+	// lookup signals that a hub's summary lists daemons that are not known here.
+	lookup chan struct{}
 
 	wg   sync.WaitGroup
 	stop context.CancelFunc
 }
 
-// New makes a Peers that tells loads to others and reports theirs to heard.
-// The daemons' objects have the given kind. In a large fleet heard gets the sum of the
-// loads of the place's other daemons, as those of a Peer without a name.
-func New(self Peer, kind string, store core.Platform, conn *net.UDPConn, clock core.Clock, log *zap.Logger, loads func() map[core.Code]int, heard func(Peer, map[core.Code]int), opts ...Option) *Peers {
+// New makes a Peers that sends this daemon's loads to its peers and passes theirs to
+// onLoads. The daemons' objects in the store have the given kind. In a large fleet onLoads
+// gets the sum of the loads of the data centre's other daemons, as those of a Peer without
+// a name.
+func New(self Peer, kind string, store core.Platform, conn *net.UDPConn, clock core.Clock, log *zap.Logger, loads func() map[core.Code]int, onLoads func(Peer, map[core.Code]int), opts ...Option) *Peers {
 	p := &Peers{
-		store: store, kind: kind, conn: conn, clock: clock, log: log, loads: loads, heard: heard, self: self,
-		state: func() State { return State{Confirmed: -1} },
-		told:  func(News) {}, count: func(string, bool, int) {},
-		usage: func() map[core.Code]core.Usage { return nil }, users: func(int, int, map[core.Code]core.Usage) {},
-		known: map[string]*known{}, handlers: map[string]Handler{}, waiting: map[uint64]chan json.RawMessage{},
-		roster: roster.New(clock.Now(), self.daemon()), out: make(chan outgoing, maxOut), strangers: make(chan struct{}, 1),
+		store: store, kind: kind, conn: conn, clock: clock, log: log, ownLoads: loads, onLoads: onLoads, self: self,
+		state:     func() State { return State{Confirmed: -1} },
+		onSummary: func(News) {}, onSend: func(string, bool, int) {},
+		ownUsage: func() map[core.Code]core.Usage { return nil }, onUsage: func(int, int, map[core.Code]core.Usage) {},
+		known: map[string]*knownPeer{}, handlers: map[string]Handler{}, pending: map[uint64]chan json.RawMessage{},
+		roster: roster.New(clock.Now(), self.daemon()), sendQueue: make(chan queued, maxQueued), lookup: make(chan struct{}, 1),
 	}
 	for _, o := range opts {
 		o(p)
 	}
-	p.Handle(kindNames, p.handleNames)
+	p.Handle(kindLookup, p.handleLookup)
 	return p
 }
 
 // Option changes a Peers.
 type Option func(*Peers)
 
-// WithNews sets what takes in what the hubs of a large fleet tell beyond loads and
-// the daemons' states.
-func WithNews(fn func(News)) Option { return func(p *Peers) { p.told = fn } }
+// WithNews sets the function that gets the hubs' summaries in a large fleet, without the
+// loads and the daemons' states.
+func WithNews(fn func(News)) Option { return func(p *Peers) { p.onSummary = fn } }
 
-// WithCount tells of each datagram that is sent: what it is for, whether to a daemon of
-// the same place, and its size.
-func WithCount(fn func(kind string, near bool, bytes int)) Option {
-	return func(p *Peers) { p.count = fn }
+// WithCount calls fn for each datagram that is sent, with its kind, whether it goes to a
+// peer of the same data centre, and its size.
+func WithCount(fn func(kind string, sameDataCentre bool, bytes int)) Option {
+	return func(p *Peers) { p.onSend = fn }
 }
 
-// WithUsage tells the others what workspaces use here, and gives what they tell to heard
-// in each turn, with how many daemons are in touch, this one included, and how many there
-// may be, 0 as long as that is not known. What is left of an allowance is as the others
-// think, NaN where they do not know.
-func WithUsage(own func() map[core.Code]core.Usage, heard func(heard, known int, others map[core.Code]core.Usage)) Option {
-	return func(p *Peers) { p.usage, p.users = own, heard }
+// WithUsage sends what workspaces use at this daemon to the peers, and passes what the
+// peers report to onUsage in each interval. reachable and known are the numbers of daemons,
+// this one included, that are reachable and that may exist; known is 0 until the store has
+// been listed. What is left of an allowance is as the peers estimate it, NaN where they
+// have no estimate.
+func WithUsage(own func() map[core.Code]core.Usage, onUsage func(reachable, known int, usage map[core.Code]core.Usage)) Option {
+	return func(p *Peers) { p.ownUsage, p.onUsage = own, onUsage }
 }
 
-// Handle sets the handler of a kind of questions, before Start.
+// Handle sets the handler of a kind of messages. It must be called before Start.
 func (p *Peers) Handle(kind string, h Handler) { p.handlers[kind] = h }
 
-// SetState sets what tells this daemon's state, before Start.
+// SetState sets the function that returns this daemon's state. It must be called before
+// Start.
 func (p *Peers) SetState(fn func() State) { p.state = fn }
 
-// Holder returns the daemon that claims the lease of orders.
+// Holder returns the daemon that holds the lease of orders: of several that claim it, the
+// one with the latest term.
 func (p *Peers) Holder() (Peer, bool) {
 	var best Peer
-	for _, one := range p.Alive() {
-		if one.Term > best.Term {
-			best = one
+	for _, peer := range p.Alive() {
+		if peer.Term > best.Term {
+			best = peer
 		}
 	}
 	return best, best.Term > 0
 }
 
-// Start begins to listen and to tell.
+// Start starts to receive and to send.
 func (p *Peers) Start() {
 	ctx, cancel := context.WithCancel(context.Background())
 	p.stop = cancel
 	p.wg.Add(5)
 	go p.runRead()
-	go p.runTell(ctx)
-	go p.runNames(ctx)
+	go p.runHeartbeats(ctx)
+	go p.runLookup(ctx)
 	go p.runSend(ctx)
-	go p.runFind(ctx)
+	go p.runDiscovery(ctx)
 }
 
-// Stop closes the socket and waits.
+// Stop closes the socket and waits until all goroutines have returned.
 func (p *Peers) Stop() {
 	p.stop()
 	_ = p.conn.Close()
 	p.wg.Wait()
 }
 
-// Nudge tells the daemons of this place at once, instead of with the next turn,
-// and those of other places if far is set.
-func (p *Peers) Nudge(far bool) { p.tellNow(far) }
+// Nudge sends this daemon's state at once, without waiting for the next interval, to the
+// peers of this data centre, and to those of other data centres if remote is set.
+func (p *Peers) Nudge(remote bool) { p.sendNow(remote) }
 
-// Acquaintance is another daemon that is known, whether it is alive or not.
+// Acquaintance is a known peer, alive or not.
 type Acquaintance struct {
 	Peer
 	Alive bool
 }
 
-// Known returns the other daemons that are known, silent ones too.
+// Known returns all known peers, unreachable ones too.
 func (p *Peers) Known() []Acquaintance {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -222,29 +226,29 @@
 	return out
 }
 
-// Found says whether the store has been asked for the others.
+// Found returns whether the daemons' objects in the store have been listed.
 func (p *Peers) Found() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.found
+	return p.discovered
 }
 
-// Leave tells the others at once that this daemon stops.
+// Leave reports to the peers at once that this daemon is stopping.
 func (p *Peers) Leave() {
 	p.mu.Lock()
 	p.self.Leaving = true
 	p.mu.Unlock()
-	p.tellNow(true)
+	p.sendNow(true)
 }
 
-// Self is this daemon.
+// Self returns this daemon.
 func (p *Peers) Self() Peer {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.self
 }
 
-// Alive returns the daemons heard lately, this one first.
+// Alive returns the daemons that are alive, this one first.
 func (p *Peers) Alive() []Peer {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -260,7 +264,7 @@
 	return out
 }
 
-// Count is how many daemons Alive returns.
+// Count returns the number of daemons that are alive, this one included.
 func (p *Peers) Count() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -273,10 +277,11 @@
 	return n
 }
 
-// alive says whether a daemon was heard lately, by its own datagrams or by a hub.
-func (k *known) alive(now time.Time) bool { return k.listed || now.Sub(k.heard) < aliveFor }
+// alive returns whether a hub's summary lists the peer as alive, or its last datagram is
+// younger than aliveTimeout.
+func (k *knownPeer) alive(now time.Time) bool { return k.listed || now.Sub(k.lastSeen) < aliveTimeout }
 
-// Get returns a daemon that was heard lately.
+// Get returns a daemon by its name, if it is alive.
 func (p *Peers) Get(name string) (Peer, bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -290,35 +295,38 @@
 	return k.Peer, true
 }
 
-func (p *Peers) runTell(ctx context.Context) {
+// runHeartbeats sends heartbeats, or reports to hubs in a large fleet, and passes on the
+// peers' usage. A changed readiness or term goes to other data centres without waiting for
+// remoteInterval.
+func (p *Peers) runHeartbeats(ctx context.Context) {
 	defer p.wg.Done()
-	var last time.Time
-	var said State
+	var lastRemote time.Time
+	var sent State
 	for ctx.Err() == nil {
-		p.tellUsage()
+		p.reportUsage()
 		if p.Large() {
-			p.tellHubs(false)
+			p.reportToHubs(false)
 			core.Sleep(ctx, p.clock, roster.TellEvery)
 			continue
 		}
 		now := p.clock.Now()
 		state := p.state()
-		urgent := state.Ready != said.Ready || state.Term != said.Term
-		far := urgent || now.Sub(last) >= farEvery
-		if far {
-			last, said = now, state
+		urgent := state.Ready != sent.Ready || state.Term != sent.Term
+		remote := urgent || now.Sub(lastRemote) >= remoteInterval
+		if remote {
+			lastRemote, sent = now, state
 		}
-		p.tell(far)
-		core.Sleep(ctx, p.clock, nearEvery)
+		p.sendHeartbeats(remote)
+		core.Sleep(ctx, p.clock, localInterval)
 	}
 }
 
-// Large says whether the fleet is a large one, whose daemons tell each other by hubs.
+// Large returns whether the fleet is too large for direct heartbeats and uses hubs.
 func (p *Peers) Large() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.large()
 }
 
-// large says whether the fleet is a large one; the caller holds the lock.
+// large is Large for callers that hold the lock.
 func (p *Peers) large() bool { return len(p.known) >= smallFleet }
--- a/coordination/peers/usage.go
+++ b/coordination/peers/usage.go
@@ -8,60 +8,60 @@
 	"primroseward/core"
 )
 
-// tellUsage tells what the other daemons use of the workspaces' allowances.
-func (p *Peers) tellUsage() {
+// reportUsage passes the peers' usage of the workspaces' allowances to onUsage.
+func (p *Peers) reportUsage() {
 	p.mu.Lock()
 	now := p.clock.Now()
-	heard, known := p.sizes(now)
-	var others map[core.Code]core.Usage
+	reachable, known := p.countDaemons(now)
+	var usage map[core.Code]core.Usage
 	if p.large() {
-		others = p.roster.Usage(now)
+		usage = p.roster.Usage(now)
 	} else {
-		others = p.sum(now)
+		usage = p.sumUsage(now)
 	}
 	p.mu.Unlock()
-	p.users(heard, known, others)
+	p.onUsage(reachable, known, usage)
 }
 
-// sizes returns how many daemons are in touch, this one included, and how many may be
-// alive; 0 as long as that is not known. One that has left and is silent has ended. The
-// caller holds the lock.
-func (p *Peers) sizes(now time.Time) (heard, known int) {
-	heard, known = 1, 1
+// countDaemons returns how many daemons are reachable and how many may be alive, both with
+// this one; known is 0 until the store has been listed. A peer that was leaving and is no
+// longer alive has stopped and is not counted. The caller holds the lock.
+func (p *Peers) countDaemons(now time.Time) (reachable, known int) {
+	reachable, known = 1, 1
 	for _, k := range p.known {
 		alive := k.alive(now)
-		if alive && now.Sub(k.heard) < roster.TouchFor {
-			heard++
+		if alive && now.Sub(k.lastSeen) < roster.TouchFor {
+			reachable++
 		}
 		if alive || !k.Leaving {
 			known++
 		}
 	}
 	if p.large() {
-		heard = max(1, p.roster.Touch(now))
+		reachable = max(1, p.roster.Touch(now))
 	}
-	if !p.found {
+	if !p.discovered {
 		known = 0
 	}
-	return heard, known
+	return reachable, known
 }
 
-// sum adds up the usage of the daemons in touch; what is left is the mean of what they
-// think. The caller holds the lock.
-func (p *Peers) sum(now time.Time) map[core.Code]core.Usage {
-	out, words := map[core.Code]core.Usage{}, map[core.Code]float64{}
+// sumUsage adds up the usage of the peers that are alive. What is left of an allowance is
+// the mean of their values, NaN where that is infinite. The caller holds the lock.
+func (p *Peers) sumUsage(now time.Time) map[core.Code]core.Usage {
+	out, counts := map[core.Code]core.Usage{}, map[core.Code]float64{}
 	for _, k := range p.known {
 		if !k.alive(now) {
 			continue
 		}
 		for code, u := range k.usage {
-			was := out[code]
-			out[code] = core.Usage{Asked: was.Asked + u.Asked, Spent: was.Spent + u.Spent, Left: was.Left + u.Left}
-			words[code]++
+			sum := out[code]
+			out[code] = core.Usage{Asked: sum.Asked + u.Asked, Spent: sum.Spent + u.Spent, Left: sum.Left + u.Left}
+			counts[code]++
 		}
 	}
 	for code, u := range out {
-		if u.Left /= words[code]; math.IsInf(u.Left, 0) {
+		if u.Left /= counts[code]; math.IsInf(u.Left, 0) {
 			u.Left = math.NaN()
 		}
 		out[code] = u
