--- a/coordination/watch/copy.go
+++ b/coordination/watch/copy.go
@@ -11,32 +11,32 @@
 	"primroseward/io/logs"
 )
 
-// Changes returns the last changes known, for the other daemons.
+// Changes returns the versions of the last changes received here, for the peers.
 func (w *Watcher) Changes() core.Changes {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	c := core.Changes{Config: w.kinds[w.reader.ConfigKind].change, Runners: w.kinds[w.reader.RunnerKind].change}
+	c := core.Changes{Config: w.kinds[w.reader.ConfigKind].lastChange, Runners: w.kinds[w.reader.RunnerKind].lastChange}
 	if k, ok := w.kinds[core.KindTree]; ok {
-		c.Settings = k.change
+		c.Settings = k.lastChange
 	}
 	return c
 }
 
-// Hint takes in the last changes that another daemon knows. A daemon that does
-// not watch gets them from it. One that does may have missed them while the
-// store forgot its history, and lists again, unless its own watch brings them
-// in a moment. near is for a daemon of the same place.
-func (w *Watcher) Hint(from string, near bool, c core.Changes) {
-	w.hint(w.reader.ConfigKind, hint{from: from, near: near, change: c.Config})
-	w.hint(w.reader.RunnerKind, hint{from: from, near: near, change: c.Runners})
+// Hint reports the last changes that a peer has received. A daemon that does not watch
+// fetches newer ones from that peer. A daemon that watches may have missed them while the
+// store dropped its history: it lists again unless its own watch delivers them within
+// watchHintDelay. sameDataCentre is true for a peer of this daemon's data centre.
+func (w *Watcher) Hint(from string, sameDataCentre bool, c core.Changes) {
+	w.applyHint(w.reader.ConfigKind, hint{from: from, sameDataCentre: sameDataCentre, change: c.Config})
+	w.applyHint(w.reader.RunnerKind, hint{from: from, sameDataCentre: sameDataCentre, change: c.Runners})
 	if w.settings != nil {
-		w.hint(core.KindTree, hint{from: from, near: near, change: c.Settings})
+		w.applyHint(core.KindTree, hint{from: from, sameDataCentre: sameDataCentre, change: c.Settings})
 	}
 }
 
-// Confirm takes in how long ago another daemon's settings, of which it knows the
-// changes up to one, were confirmed. Where that change is known here, too, so are
-// these: a daemon that does not watch has no other sign of it.
+// Confirm reports that a peer, which has the settings up to the given change, confirmed
+// them as the store's newest age ago. If this daemon has that change too, its own settings
+// count as confirmed at that time: a daemon that does not watch has no other confirmation.
 func (w *Watcher) Confirm(settings uint64, age time.Duration) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -44,24 +44,24 @@
 	if !ok || k.version == 0 || settings > k.version || age < 0 {
 		return
 	}
-	if at := w.clock.Now().Add(-age); at.After(k.confirmed) {
-		k.confirmed = at
+	if at := w.clock.Now().Add(-age); at.After(k.confirmedAt) {
+		k.confirmedAt = at
 	}
 }
 
-// SettingsAge is how long ago the settings held were last known to be the store's
-// newest, below 0 if they never were.
+// SettingsAge returns how long ago the settings held here were last confirmed to be the
+// store's newest, and a value below 0 if they never were.
 func (w *Watcher) SettingsAge() time.Duration {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	k, ok := w.kinds[core.KindTree]
-	if !ok || k.confirmed.IsZero() {
+	if !ok || k.confirmedAt.IsZero() {
 		return -1
 	}
-	return w.clock.Since(k.confirmed)
+	return w.clock.Since(k.confirmedAt)
 }
 
-func (w *Watcher) hint(kind string, h hint) {
+func (w *Watcher) applyHint(kind string, h hint) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	k := w.kinds[kind]
@@ -72,69 +72,70 @@
 	switch {
 	case h.change > k.hint.change:
 		if h.at = now; k.hint.change > k.version {
-			h.at = k.hint.at // what is told of first has waited longest
+			h.at = k.hint.at // delays count from the earliest change that is still missing
 		}
 		k.hint = h
-	case h.change == k.hint.change && h.near && !k.hint.near:
-		k.hint.from, k.hint.near = h.from, true
+	case h.change == k.hint.change && h.sameDataCentre && !k.hint.sameDataCentre:
+		k.hint.from, k.hint.sameDataCentre = h.from, true
 	}
 	switch {
-	case k.passive && !k.hint.near:
-	case k.passive:
+	case k.following && !k.hint.sameDataCentre:
+	case k.following:
 		select {
 		case k.wake <- struct{}{}:
-		default: // it is awake already
+		default: // a wake-up is pending
 		}
-	case !k.hint.acted && now.Sub(k.hint.at) >= hintPatience:
-		k.hint.acted = true
+	case !k.hint.relisted && now.Sub(k.hint.at) >= watchHintDelay:
+		k.hint.relisted = true
 		w.log.Info(logs.ConfigBehind, zap.String("kind", kind), zap.String("other", h.from), zap.Uint64("change", h.change), zap.Uint64("version", k.version))
 		k.cancel()
 	}
 }
 
-// relist ends the watches of all kinds but one, so that they list again.
-func (w *Watcher) relist(but string) {
+// relistOthers cancels the watches of all kinds but one, so that they are listed again.
+func (w *Watcher) relistOthers(except string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	for kind, k := range w.kinds {
-		if kind != but {
+		if kind != except {
 			k.cancel()
 		}
 	}
 }
 
-// maxGone bounds the deletions that are kept for copies.
-const maxGone = 1024
+// maxDeletions bounds the deletions that are kept for snapshots, per kind.
+const maxDeletions = 1024
 
-// drop takes an object out and keeps that it was deleted; the caller holds the
+// recordDeletion removes an object and records that it was deleted. The caller holds the
 // lock.
-func (k *kindState) drop(name string, version uint64) {
+func (k *kindState) recordDeletion(name string, version uint64) {
 	delete(k.objects, name)
-	k.gone = append(k.gone, Gone{Name: name, Version: version})
-	if over := len(k.gone) - maxGone; over > 0 {
-		k.since = k.gone[over-1].Version
-		k.gone = append([]Gone(nil), k.gone[over:]...)
+	k.deletions = append(k.deletions, Deletion{Name: name, Version: version})
+	if over := len(k.deletions) - maxDeletions; over > 0 {
+		k.deletionsSince = k.deletions[over-1].Version
+		k.deletions = append([]Deletion(nil), k.deletions[over:]...)
 	}
 }
 
-// close ends an answer of a watch, which tells all changes up to a version. An event
-// may carry the deleted object's last version instead of the deletion's, which lies
-// between the two; a daemon that knows all up to the first would not be told. The
-// caller holds the lock.
-func (k *kindState) close(version uint64) {
-	for i := len(k.gone) - min(k.open, len(k.gone)); i < len(k.gone); i++ {
-		k.gone[i].Version = max(k.gone[i].Version, version)
-		k.change = max(k.change, version)
-	}
-	k.open = 0
+// endAnswer ends an answer of a watch, with which all changes up to a version have been
+// received. A deletion event may carry the object's last version instead of the version of
+// the deletion, which lies between that and the end of the answer. A peer that has all
+// changes up to the object's last version would then not get the deletion, so the deletions
+// of this answer are raised to the version at its end. The caller holds the lock.
+func (k *kindState) endAnswer(version uint64) {
+	for i := len(k.deletions) - min(k.openDeletions, len(k.deletions)); i < len(k.deletions); i++ {
+		k.deletions[i].Version = max(k.deletions[i].Version, version)
+		k.lastChange = max(k.lastChange, version)
+	}
+	k.openDeletions = 0
 }
 
-// Copy returns this daemon's copy of a kind for another one that knows all up to a
-// version: only what has changed since where this one knows that. With whole
-// copies a fleet of 70 daemons and 95 runners filled the small VMs' links at each
-// change of a runner: two of five copies came too late, and as many whole lists
-// were asked of the store. It fails with ErrUnavailable while nothing is known
-// here, either.
+// Copy returns this daemon's snapshot of a kind for a peer that has all changes up to the
+// version after: only what has changed since, if this daemon still has all deletions since
+// then. With full snapshots, each change of a runner filled the links of the small VMs in a
+// fleet of 70 daemons and 95 runners: two of five snapshots came too late, and as many full
+// lists were requested from the store. Copy fails with ErrUnavailable before the first list
+// or snapshot of the kind has been received here.
 func (w *Watcher) Copy(kind string, after uint64) (Copy, error) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -145,8 +146,8 @@
 	if k.version == 0 {
 		return Copy{}, core.ErrUnavailable
 	}
-	c := Copy{Stale: k.failing, Version: k.version, Change: k.change, Healthy: w.clock.Since(k.lost)}
-	if after >= k.since && after <= k.version {
+	c := Copy{Stale: k.failing, Version: k.version, Change: k.lastChange, Healthy: w.clock.Since(k.failedAt)}
+	if after >= k.deletionsSince && after <= k.version {
 		c.After = after
 	}
 	for _, o := range k.objects {
@@ -154,18 +155,18 @@
 			c.Objects = append(c.Objects, o)
 		}
 	}
-	for i, g := range k.gone {
-		if _, back := k.objects[g.Name]; back || c.After == 0 {
+	for i, d := range k.deletions {
+		if _, exists := k.objects[d.Name]; exists || c.After == 0 {
 			continue
 		}
-		if g.Version > c.After || i >= len(k.gone)-k.open {
-			c.Gone = append(c.Gone, g)
+		if d.Version > c.After || i >= len(k.deletions)-k.openDeletions {
+			c.Deletions = append(c.Deletions, d)
 		}
 	}
 	return c, nil
 }
 
-// Failing says whether the store fails for this daemon.
+// Failing returns whether the store fails for this daemon, for any kind.
 func (w *Watcher) Failing() bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -177,10 +178,11 @@
 	return false
 }
 
-// adopt takes in a copy of a kind, unless an older one.
-func (w *Watcher) adopt(kind string, c Copy) {
+// applySnapshot replaces the objects of a kind by a snapshot, unless it is older than what
+// is held here, or applies the changes of an incremental one.
+func (w *Watcher) applySnapshot(kind string, c Copy) {
 	if c.After > 0 {
-		w.adoptChanges(kind, c)
+		w.applyChanges(kind, c)
 		return
 	}
 	w.mu.Lock()
@@ -189,35 +191,36 @@
 		w.mu.Unlock()
 		return
 	}
-	listed := make(map[string]core.Object, len(c.Objects))
+	objects := make(map[string]core.Object, len(c.Objects))
 	for _, o := range c.Objects {
-		listed[o.Name] = o
-		k.change = max(k.change, o.Version)
+		objects[o.Name] = o
+		k.lastChange = max(k.lastChange, o.Version)
 	}
 	if k.version == 0 {
-		k.since = c.Version
+		k.deletionsSince = c.Version
 	}
 	for name := range k.objects {
-		if _, ok := listed[name]; !ok {
-			k.drop(name, c.Version)
+		if _, ok := objects[name]; !ok {
+			k.recordDeletion(name, c.Version)
 		}
 	}
-	k.objects, k.version = listed, c.Version
-	k.change = max(k.change, c.Change)
+	k.objects, k.version = objects, c.Version
+	k.lastChange = max(k.lastChange, c.Change)
 	w.mu.Unlock()
 	switch kind {
 	case w.reader.ConfigKind:
-		w.takeConfigs(c.Objects)
+		w.applyConfigs(c.Objects)
 	case w.reader.RunnerKind:
-		w.takeRunners(c)
+		w.applyRunners(c)
 	case core.KindTree:
-		w.takeTree(c)
+		w.applyTree(c)
 	}
 }
 
-// adoptChanges takes in what has changed after a version that is known here. What
-// is gone in a copy that is no older than what is held here is gone.
-func (w *Watcher) adoptChanges(kind string, c Copy) {
+// applyChanges applies an incremental snapshot, unless it starts after the version held
+// here or is older. As it is no older than what is held here, each object that it lists as
+// deleted is deleted.
+func (w *Watcher) applyChanges(kind string, c Copy) {
 	w.mu.Lock()
 	k := w.kinds[kind]
 	if c.After > k.version || c.Version < k.version {
@@ -231,16 +234,16 @@
 			events = append(events, core.Event{Object: o})
 		}
 	}
-	for _, g := range c.Gone {
-		if _, held := k.objects[g.Name]; held {
-			k.drop(g.Name, g.Version)
-			events = append(events, core.Event{Object: core.Object{Kind: kind, Name: g.Name, Version: g.Version}, Deleted: true})
+	for _, d := range c.Deletions {
+		if _, exists := k.objects[d.Name]; exists {
+			k.recordDeletion(d.Name, d.Version)
+			events = append(events, core.Event{Object: core.Object{Kind: kind, Name: d.Name, Version: d.Version}, Deleted: true})
 		}
 	}
-	k.version, k.change = c.Version, max(k.change, c.Change)
+	k.version, k.lastChange = c.Version, max(k.lastChange, c.Change)
 	w.mu.Unlock()
 	slices.SortFunc(events, func(a, b core.Event) int { return cmp.Compare(a.Object.Version, b.Object.Version) })
 	for _, e := range events {
-		w.take(kind, e, c.Healthy)
+		w.apply(kind, e, c.Healthy)
 	}
 }
--- a/coordination/watch/follow.go
+++ b/coordination/watch/follow.go
@@ -9,74 +9,74 @@
 	"primroseward/io/logs"
 )
 
-// begin gets the first copy of another daemon where that is likely to have one, and
-// says whether it has. Of 70 daemons that start together five read the store instead
-// of all, and one that starts again asks the store for nothing.
-func (w *Watcher) begin(ctx context.Context, kind string) bool {
-	began := w.clock.Now()
-	for ctx.Err() == nil && !w.first(w.clock.Since(began)) {
-		if c, err := w.neighbour(ctx, kind, "", 0); err == nil && !c.Stale {
-			w.adopt(kind, c)
+// fetchInitial fetches the first snapshot of a kind from a peer for as long as one is
+// likely to have it, and returns whether it got one. Of 70 daemons that start together,
+// five read the store instead of all, and one that restarts does not call the store.
+func (w *Watcher) fetchInitial(ctx context.Context, kind string) bool {
+	started := w.clock.Now()
+	for ctx.Err() == nil && !w.readsStore(w.clock.Since(started)) {
+		if c, err := w.fetch(ctx, kind, "", 0); err == nil && !c.Stale {
+			w.applySnapshot(kind, c)
 			return true
 		}
-		core.Sleep(ctx, w.clock, firstCheck)
+		core.Sleep(ctx, w.clock, initialInterval)
 	}
 	return false
 }
 
-// follow waits, as a daemon that does not watch, until another one tells of a
-// change, and takes that one's copy; the store is asked where this fails.
+// follow waits until a peer reports a change and fetches that peer's snapshot, on a daemon
+// that does not watch. If that fails, it lists the store.
 func (w *Watcher) follow(ctx context.Context, kind string) {
 	k := w.kinds[kind]
 	w.mu.Lock()
-	k.passive = true
+	k.following = true
 	w.mu.Unlock()
 	select {
 	case <-ctx.Done():
 		return
-	case <-w.clock.After(followCheck):
+	case <-w.clock.After(followInterval):
 	case <-k.wake:
 	}
 	w.mu.Lock()
 	h, version := k.hint, k.version
 	w.mu.Unlock()
-	if h.change <= version || !h.near && w.clock.Since(h.at) < farPatience {
+	if h.change <= version || !h.sameDataCentre && w.clock.Since(h.at) < remoteHintDelay {
 		return
 	}
-	c, err := w.neighbour(ctx, kind, h.from, version)
+	c, err := w.fetch(ctx, kind, h.from, version)
 	if err == nil && c.Version >= h.change {
-		w.adopt(kind, c)
-		w.mayWork(kind, c)
+		w.applySnapshot(kind, c)
+		w.expireFailure(kind, c)
 		if kind == w.reader.RunnerKind {
-			core.Sleep(ctx, w.clock, w.pause())
+			core.Sleep(ctx, w.clock, w.followPause())
 		}
 		return
 	}
 	if err := w.list(ctx, kind); err != nil && ctx.Err() == nil {
-		w.fails(kind, err)
+		w.recordFailure(kind, err)
 	}
 }
 
-// leadsAgain says whether this daemon watches after it did not.
-func (w *Watcher) leadsAgain(kind string) bool {
+// stopFollowing marks the kind as no longer followed, and returns whether it was.
+func (w *Watcher) stopFollowing(kind string) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	k := w.kinds[kind]
-	was := k.passive
-	k.passive = false
+	was := k.following
+	k.following = false
 	return was
 }
 
-// ask takes in the copy of another daemon. A stale one is only for a daemon that
-// knows nothing: started while the store is away, it would refuse every request
-// that the others serve by what they know.
-func (w *Watcher) ask(ctx context.Context, kind string) {
-	c, err := w.neighbour(ctx, kind, "", w.known(kind))
+// fetchFromPeer applies a peer's snapshot. A stale one is used only if nothing has been
+// received here yet: a daemon started during an outage of the store would otherwise refuse
+// every request that its peers serve from what they hold.
+func (w *Watcher) fetchFromPeer(ctx context.Context, kind string) {
+	c, err := w.fetch(ctx, kind, "", w.version(kind))
 	if err != nil {
 		w.log.Debug(logs.CopyNotTaken, zap.String("kind", kind), logs.Err(err))
 		return
 	}
-	if !c.Stale || w.known(kind) == 0 {
-		w.adopt(kind, c)
+	if !c.Stale || w.version(kind) == 0 {
+		w.applySnapshot(kind, c)
 	}
 }
--- a/coordination/watch/ready_test.go
+++ b/coordination/watch/ready_test.go
@@ -10,9 +10,9 @@
 	"primroseward/standin/memory"
 )
 
-// Callers of a daemon that has just started are refused although runners are there: it
-// knew the configuration and the settings, counted as ready, and had not taken in the
-// list of runners, which came 4 ms later.
+// Guards against refusals by a daemon that has just started although there are runners: it
+// had the configuration and the settings and counted as ready, but the list of runners
+// arrived 4 ms later.
 func TestRunnersAreKnownOnceListed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := memory.New()
@@ -23,6 +23,6 @@
 		n.Start()
 		defer n.Stop()
 		within(t, time.Second, "listed", n.KnowsRunners)
-		assert.Assert(t, n.catalog.Runner("r1") != nil, "known before its runners were taken in")
+		assert.Assert(t, n.catalog.Runner("r1") != nil, "KnowsRunners before the list of runners was applied")
 	})
 }
--- a/coordination/watch/take.go
+++ b/coordination/watch/take.go
@@ -11,13 +11,13 @@
 	"primroseward/state/tree"
 )
 
-func (w *Watcher) takeConfigs(objects []core.Object) {
+func (w *Watcher) applyConfigs(objects []core.Object) {
 	for _, o := range objects {
-		w.takeConfig(core.Event{Object: o})
+		w.applyConfig(core.Event{Object: o})
 	}
 }
 
-func (w *Watcher) takeConfig(e core.Event) {
+func (w *Watcher) applyConfig(e core.Event) {
 	if e.Object.Name != w.reader.ConfigName || e.Deleted {
 		return
 	}
@@ -31,20 +31,22 @@
 	}
 }
 
-// takeTree takes in all branches of the settings tree.
-func (w *Watcher) takeTree(c Copy) {
+// applyTree replaces all branches of the settings tree.
+func (w *Watcher) applyTree(c Copy) {
 	branches := make([]tree.Branch, 0, len(c.Objects))
 	for _, o := range c.Objects {
 		branches = append(branches, tree.BranchOf(core.Event{Object: o}))
 	}
-	w.branchesTaken(w.settings.Adopt(branches, c.Version))
+	w.logBranches(w.settings.Adopt(branches, c.Version))
 }
 
-func (w *Watcher) takeBranch(e core.Event) {
-	w.branchesTaken(w.settings.Apply([]tree.Branch{tree.BranchOf(e)}))
+func (w *Watcher) applyBranch(e core.Event) {
+	w.logBranches(w.settings.Apply([]tree.Branch{tree.BranchOf(e)}))
 }
 
-func (w *Watcher) branchesTaken(branches []tree.Branch) {
+// logBranches logs the branches that are in force from now on, and the settings tree's
+// problems.
+func (w *Watcher) logBranches(branches []tree.Branch) {
 	for _, b := range branches {
 		w.log.Info(logs.SettingsInForce, zap.String("branch", b.Name), zap.Uint64("version", b.Version), zap.Bool("deleted", b.Deleted))
 	}
@@ -53,47 +55,48 @@
 	}
 }
 
-func (w *Watcher) takeRunners(c Copy) {
+func (w *Watcher) applyRunners(c Copy) {
 	listed := make(map[string]bool, len(c.Objects))
 	for _, o := range c.Objects {
 		listed[o.Name] = true
-		w.takeRunner(core.Event{Object: o}, c.Healthy)
+		w.applyRunner(core.Event{Object: o}, c.Healthy)
 	}
 	for id := range w.catalog.All() {
 		if !listed[id] {
-			w.lapse(id, c.Healthy)
+			w.entryMissing(id, c.Healthy)
 		}
 	}
-	w.runnersKnown.Store(true)
+	w.runnersListed.Store(true)
 }
 
-// KnowsRunners says whether a list of the runners has been taken in. A daemon that is
-// ready before refuses its first requests, as no runner has what they ask for.
-func (w *Watcher) KnowsRunners() bool { return w.runnersKnown.Load() }
+// KnowsRunners returns whether a list of the runners has been applied. A daemon that
+// reports itself ready before that refuses its first requests, as its catalog has no runner
+// that could serve them.
+func (w *Watcher) KnowsRunners() bool { return w.runnersListed.Load() }
 
-// healthyFor is how long the store has not failed here for a kind: calls for other
-// kinds may be turned away, which says nothing of this one's objects, and would let
-// requests go on to runners that have left. The time of the failure is kept with its
-// monotonic reading: after a step of the time of day the grace for lapsed entries
-// would last as long as the step.
+// healthyFor returns how long ago the store last failed here for a kind. Failures are kept
+// by kind: calls for other kinds may be turned away, which says nothing about this one's
+// objects, and would let requests go on to runners that have left. The time of the failure
+// keeps its monotonic reading; without it, after a step of the time of day the grace for
+// lapsed entries would last as long as the step.
 func (w *Watcher) healthyFor(kind string) time.Duration {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return w.clock.Since(w.kinds[kind].lost)
+	return w.clock.Since(w.kinds[kind].failedAt)
 }
 
-func (w *Watcher) takeRunner(e core.Event, healthy time.Duration) {
+func (w *Watcher) applyRunner(e core.Event, healthy time.Duration) {
 	if e.Deleted {
-		w.readable(e.Object.Name)
-		w.lapse(e.Object.Name, healthy)
+		w.clearUnreadable(e.Object.Name)
+		w.entryMissing(e.Object.Name, healthy)
 		return
 	}
 	r, err := w.reader.Runner(e.Object.Name, e.Object.Body)
 	if err != nil {
-		w.spoiled(e.Object, err)
+		w.entryUnreadable(e.Object, err)
 		return
 	}
-	w.readable(r.ID)
+	w.clearUnreadable(r.ID)
 	old := w.catalog.Runner(r.ID)
 	w.catalog.Put(*r, w.clock.Now())
 	if old == nil || old.Draining != r.Draining {
@@ -102,41 +105,42 @@
 	}
 }
 
-// spoiled takes in a runner's entry that can't be read: another writer's, which names
-// no runner to use. A runner that was known under its name gets no more work until its
-// own heartbeat has replaced the entry. Lists and copies repeat the entry; it is told
-// of once.
-func (w *Watcher) spoiled(o core.Object, err error) {
+// entryUnreadable handles a runner's entry that can't be decoded, because another writer
+// has written it; it describes no runner to use. A runner already known by its name gets
+// no more work until its own heartbeat has replaced the entry. Lists and snapshots contain
+// the entry again and again; each version is logged and counted once.
+func (w *Watcher) entryUnreadable(o core.Object, err error) {
 	w.mu.Lock()
-	version, told := w.unread[o.Name]
-	told = told && version == o.Version
-	if !told && len(w.unread) < maxUnread {
-		w.unread[o.Name] = o.Version
+	version, reported := w.unreadable[o.Name]
+	reported = reported && version == o.Version
+	if !reported && len(w.unreadable) < maxUnreadable {
+		w.unreadable[o.Name] = o.Version
 	}
 	w.mu.Unlock()
 	now := w.clock.Now()
 	w.catalog.Lapse(o.Name, now)
 	w.catalog.Sweep(now)
-	if told {
+	if reported {
 		return
 	}
-	w.unreadable()
+	w.onUnreadable()
 	w.log.Error(logs.RunnerUnreadable, zap.String("runner", o.Name), zap.Uint64("revision", o.Version), logs.Err(err))
 }
 
-// readable forgets that a runner's entry could not be read.
-func (w *Watcher) readable(name string) {
+// clearUnreadable removes the record that a runner's entry could not be read.
+func (w *Watcher) clearUnreadable(name string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	delete(w.unread, name)
+	delete(w.unreadable, name)
 }
 
-// lapse takes in that a runner's entry is missing, as seen by a daemon for which
-// the store has not failed for the time healthy. After an outage of the store entries of
-// live runners are missing for a moment; to drop their runners then would drop
-// most of the fleet at once. The grace counts from the store's return: a runner
-// that leaves later must get no work two seconds after its entry is gone.
-func (w *Watcher) lapse(id string, healthy time.Duration) {
+// entryMissing handles a missing entry of a runner; healthy is how long the store had not
+// failed for the daemon that saw it missing. After an outage of the store, entries of live
+// runners are missing for a moment; removing those runners at once would remove most of the
+// fleet. So a missing entry counts only lapseGrace after the store's return. The grace counts
+// from that return, not from the loss of the entry: otherwise a runner that leaves later
+// would get work for two seconds after its entry is gone.
+func (w *Watcher) entryMissing(id string, healthy time.Duration) {
 	now := w.clock.Now()
 	goneAt := now.Add(max(0, lapseGrace-healthy))
 	w.log.Info(logs.RunnerMissing, zap.String("runner", id), zap.Duration("grace", goneAt.Sub(now)))
@@ -148,6 +152,6 @@
 	defer w.wg.Done()
 	for ctx.Err() == nil {
 		w.catalog.Sweep(w.clock.Now())
-		core.Sleep(ctx, w.clock, sweepEvery)
+		core.Sleep(ctx, w.clock, sweepInterval)
 	}
 }
--- a/coordination/watch/watch.go
+++ b/coordination/watch/watch.go
@@ -1,4 +1,5 @@
-// Package watch keeps the catalog in step with the platform's store.
+// Package watch keeps the catalog and the settings tree up to date with the platform's
+// store. A few daemons watch the store; the others fetch snapshots from those.
 package watch
 
 import (
@@ -18,42 +19,43 @@
 )
 
 const (
-	// firstPause and lastPause bound the wait between two tries while the
-	// store fails. The configuration must be in force two seconds after its
-	// acknowledgement, so the last try before the store's return must not lie
-	// much further back than half a second.
-	firstPause = 100 * time.Millisecond
-	lastPause  = 500 * time.Millisecond
-	// lapseGrace is how long after the store's return a missing entry of a
-	// runner still counts: live runners are back within about two seconds.
+	// minRetryPause and maxRetryPause bound the wait between two attempts while the store
+	// fails. The configuration must be in force two seconds after its acknowledgement, so
+	// the last attempt before the store's return must not be much more than half a second
+	// earlier.
+	minRetryPause = 100 * time.Millisecond
+	maxRetryPause = 500 * time.Millisecond
+	// lapseGrace is how long after the store's return a runner is kept although its entry
+	// is missing: entries of live runners are back within about two seconds.
 	lapseGrace = 2 * time.Second
-	// maxUnread bounds the entries that are remembered as told of.
-	maxUnread  = 1000
-	sweepEvery = 100 * time.Millisecond
-	// firstCheck is how often a daemon that starts looks for another one's copy.
-	firstCheck = 40 * time.Millisecond
-	// failMemory is how long a daemon that does not watch counts the store as failing
-	// after it has tried in vain: about as long as the store's outages.
-	failMemory = 5 * time.Second
-	// hintPatience is how long a daemon that watches waits for its own watch to
-	// bring a change that another one has told of.
-	hintPatience = 150 * time.Millisecond
-	// farPatience is how long a daemon that does not watch waits for one of its own
-	// place to know a change that one of another place has told of: each change
-	// would come to each daemon over the dear links between places, instead of once
-	// to each place.
-	farPatience = 300 * time.Millisecond
-	// followCheck is how often a daemon that does not watch looks whether it
-	// should: those that did may have gone.
-	followCheck = 200 * time.Millisecond
-	// settle is the pause after changes of runners before the next watch. Each
-	// answer of a watch is a counted call of each daemon; runners that change
-	// together then cost one. It is a tenth of the two seconds within which a
-	// leaving runner must get no more work.
-	settle = 200 * time.Millisecond
+	// maxUnreadable bounds the unreadable entries that are remembered as reported.
+	maxUnreadable = 1000
+	sweepInterval = 100 * time.Millisecond
+	// initialInterval is the pause between two attempts of a starting daemon to fetch a
+	// peer's snapshot.
+	initialInterval = 40 * time.Millisecond
+	// failureExpiry is how long a daemon that does not watch counts the store as failing
+	// after a failed call: about as long as the store's outages.
+	failureExpiry = 5 * time.Second
+	// watchHintDelay is how long a daemon that watches waits for its own watch to deliver
+	// a change that a peer has reported.
+	watchHintDelay = 150 * time.Millisecond
+	// remoteHintDelay is how long a daemon that does not watch waits, after a peer of
+	// another data centre has reported a change, for a peer of its own data centre to
+	// report it. Otherwise each change would be sent to each daemon over the expensive links
+	// between data centres, instead of once to each data centre.
+	remoteHintDelay = 300 * time.Millisecond
+	// followInterval is how often a daemon that does not watch checks whether it should:
+	// those that did may have stopped.
+	followInterval = 200 * time.Millisecond
+	// settleTime is the pause after changes of runners before the next watch. Each answer
+	// of a watch is a counted call of each daemon that watches; runners that change within
+	// the pause cost one. It is a tenth of the two seconds within which a leaving runner
+	// must get no more work.
+	settleTime = 200 * time.Millisecond
 )
 
-// Reader turns objects of the store into the product's types.
+// Reader decodes the store's objects.
 type Reader struct {
 	ConfigKind string
 	ConfigName string
@@ -62,64 +64,66 @@
 	Runner     func(id string, body []byte) (*core.Runner, error)
 }
 
-// Copy is a kind's objects as the store had them at a version: all of them, or
-// those that have changed after a version that its reader has.
+// Copy is a snapshot of a kind's objects as the store had them at a version: all of them,
+// or, in an incremental snapshot, those that have changed after a version that its reader
+// has.
 type Copy struct {
-	Version uint64        `json:"version"`
-	After   uint64        `json:"after,omitempty"` // 0: all objects
-	Objects []core.Object `json:"objects"`
-	Gone    []Gone        `json:"gone,omitempty"` // deleted after After
-	Change  uint64        `json:"change"`         // the last one of the kind
-	Healthy time.Duration `json:"healthy"`        // since the store last failed for its daemon
-	Stale   bool          `json:"stale"`          // the store fails for its daemon now
+	Version   uint64        `json:"version"`
+	After     uint64        `json:"after,omitempty"` // 0: all objects
+	Objects   []core.Object `json:"objects"`
+	Deletions []Deletion    `json:"gone,omitempty"` // since After
+	Change    uint64        `json:"change"`         // version of the kind's last change
+	Healthy   time.Duration `json:"healthy"`        // since the store last failed for the daemon that made the snapshot
+	Stale     bool          `json:"stale"`          // the store fails for that daemon now
 }
 
-// Gone is an object that has been deleted, at the latest at a version.
-type Gone struct {
+// Deletion is an object that was deleted at Version or earlier.
+type Deletion struct {
 	Name    string `json:"name"`
 	Version uint64 `json:"version"`
 }
 
-// Neighbour gets another daemon's copy of a kind as of a version that is known
-// here: a named daemon's, or that of any if the name is empty, of one that reaches
-// the store where there is one. It fails with ErrUnavailable when there is none.
-type Neighbour func(ctx context.Context, kind, name string, after uint64) (Copy, error)
+// Fetch fetches a peer's snapshot of a kind with the changes after a version held here.
+// The peer is the named one or, if name is empty, any, preferably one that reaches the
+// store. Fetch fails with ErrUnavailable if no such peer can be reached.
+type Fetch func(ctx context.Context, kind, name string, after uint64) (Copy, error)
 
-// Watcher watches the configuration and the runners.
+// Watcher keeps the configuration, the runners and, if set, the settings tree up to date.
 type Watcher struct {
-	store        core.Platform
-	reader       Reader
-	neighbour    Neighbour
-	catalog      *catalog.Catalog
-	clock        core.Clock
-	log          *zap.Logger
-	mu           sync.Mutex
-	kinds        map[string]*kindState
-	runnersKnown atomic.Bool
-	unread       map[string]uint64 // versions of runners' entries that could not be read
-	settings     *tree.Replica     // nil: none are kept
-	active       func() bool
-	changed      func(kind string)
-	first        func(since time.Duration) bool
-	pause        func() time.Duration // of a daemon that does not watch, after it has taken a copy
-	// unreadable is called for each version of a runner's entry that can't be read.
-	unreadable func()
-	wg         sync.WaitGroup
-	stop       context.CancelFunc
+	store         core.Platform
+	reader        Reader
+	fetch         Fetch
+	catalog       *catalog.Catalog
+	clock         core.Clock
+	log           *zap.Logger
+	mu            sync.Mutex
+	kinds         map[string]*kindState
+	runnersListed atomic.Bool
+	unreadable    map[string]uint64 // versions of runners' entries that could not be read, by name
+	settings      *tree.Replica     // nil: the settings tree is not watched
+	watches       func() bool
+	onChange      func(kind string)
+	readsStore    func(age time.Duration) bool
+	followPause   func() time.Duration // of a daemon that does not watch, after it has fetched the runners
+	// onUnreadable is called for each version of a runner's entry that can't be read.
+	onUnreadable func()
+	wg           sync.WaitGroup
+	stop         context.CancelFunc
 }
 
 // Option changes a Watcher.
 type Option func(*Watcher)
 
-// WithActive sets what tells whether this daemon watches the store itself.
-// Others take what has changed from those that do.
-func WithActive(fn func() bool) Option { return func(w *Watcher) { w.active = fn } }
+// WithActive sets the function that returns whether this daemon watches the store itself.
+// Daemons that do not watch fetch changes from those that do.
+func WithActive(fn func() bool) Option { return func(w *Watcher) { w.watches = fn } }
 
-// WithPause sets how long a daemon that does not watch waits after a copy of the runners
-// before it takes the next one: runners that change in that time cost one copy.
-func WithPause(fn func() time.Duration) Option { return func(w *Watcher) { w.pause = fn } }
+// WithPause sets how long a daemon that does not watch waits after a snapshot of the
+// runners before it fetches the next one: all runners that change in that time cost one
+// snapshot.
+func WithPause(fn func() time.Duration) Option { return func(w *Watcher) { w.followPause = fn } }
 
-// WithSettings keeps a replica of the operators' settings tree in step, too.
+// WithSettings also keeps a replica of the operators' settings tree up to date.
 func WithSettings(r *tree.Replica) Option {
 	return func(w *Watcher) {
 		w.settings = r
@@ -127,50 +131,50 @@
 	}
 }
 
-// WithChanged calls fn with the kind of each change that a watch of this daemon
-// reports.
-func WithChanged(fn func(kind string)) Option { return func(w *Watcher) { w.changed = fn } }
+// WithChanged calls fn with the kind of the changes that a watch of this daemon reports, not
+// for each change but at the end of the watch's answer.
+func WithChanged(fn func(kind string)) Option { return func(w *Watcher) { w.onChange = fn } }
 
-// WithFirst sets what tells whether this daemon should read the store itself, so long
-// after its start, rather than wait for another one's copy.
-func WithFirst(fn func(since time.Duration) bool) Option { return func(w *Watcher) { w.first = fn } }
+// WithFirst sets the function that returns whether this daemon should read the store itself
+// instead of waiting for its first snapshot from a peer; age is the time since its start.
+func WithFirst(fn func(age time.Duration) bool) Option { return func(w *Watcher) { w.readsStore = fn } }
 
-// WithUnreadable calls fn for each runner's entry that can't be read.
-func WithUnreadable(fn func()) Option { return func(w *Watcher) { w.unreadable = fn } }
+// WithUnreadable calls fn for each version of a runner's entry that can't be read.
+func WithUnreadable(fn func()) Option { return func(w *Watcher) { w.onUnreadable = fn } }
 
-// kindState is this daemon's copy of a kind.
+// kindState is what this daemon holds of a kind.
 type kindState struct {
-	version uint64 // all changes up to this one are known
-	change  uint64 // the last change of the kind
-	objects map[string]core.Object
-	gone    []Gone // what has been deleted after the version since, oldest first
-	open    int    // of gone, at its end: deleted in an answer that has not ended
-	since   uint64
-	failing bool
-	lost    time.Time // when the store last failed
-	passive bool
-	cancel  context.CancelFunc // of the watch
-	hint    hint
-	wake    chan struct{} // of a passive daemon's loop
-	// confirmed is when what is known was last known to be the store's newest,
+	version        uint64 // all changes up to this version have been received
+	lastChange     uint64 // version of the kind's last change
+	objects        map[string]core.Object
+	deletions      []Deletion // after the version deletionsSince, oldest first
+	openDeletions  int        // the last ones of deletions: those of a watch's answer that has not ended
+	deletionsSince uint64
+	failing        bool               // the store counts as failing for this daemon
+	failedAt       time.Time          // when the store last failed, or returned after that
+	following      bool               // this daemon does not watch the kind but fetches it from peers
+	cancel         context.CancelFunc // of the watch
+	hint           hint
+	wake           chan struct{} // wakes follow
+	// confirmedAt is when the objects held were last confirmed to be the store's newest,
 	// zero if never. It keeps its monotonic reading.
-	confirmed time.Time
+	confirmedAt time.Time
 }
 
-// hint is what another daemon told of a kind that this one does not know yet.
+// hint is a peer's report of a change that this daemon does not have yet.
 type hint struct {
-	change uint64
-	from   string
-	near   bool // the other one is in this place
-	at     time.Time
-	acted  bool
+	change         uint64
+	from           string
+	sameDataCentre bool
+	at             time.Time // when the first change still missing was reported
+	relisted       bool      // the watch was cancelled because of the hint
 }
 
 // New makes a Watcher.
-func New(store core.Platform, reader Reader, neighbour Neighbour, c *catalog.Catalog, clock core.Clock, log *zap.Logger, opts ...Option) *Watcher {
+func New(store core.Platform, reader Reader, fetch Fetch, c *catalog.Catalog, clock core.Clock, log *zap.Logger, opts ...Option) *Watcher {
 	w := &Watcher{
-		store: store, reader: reader, neighbour: neighbour, catalog: c, clock: clock, log: log, kinds: map[string]*kindState{}, unread: map[string]uint64{}, unreadable: func() {},
-		active: func() bool { return true }, changed: func(string) {}, first: func(time.Duration) bool { return true }, pause: func() time.Duration { return settle },
+		store: store, reader: reader, fetch: fetch, catalog: c, clock: clock, log: log, kinds: map[string]*kindState{}, unreadable: map[string]uint64{}, onUnreadable: func() {},
+		watches: func() bool { return true }, onChange: func(string) {}, readsStore: func(time.Duration) bool { return true }, followPause: func() time.Duration { return settleTime },
 	}
 	for _, kind := range []string{reader.ConfigKind, reader.RunnerKind} {
 		w.addKind(kind)
@@ -185,7 +189,7 @@
 	w.kinds[kind] = &kindState{objects: map[string]core.Object{}, cancel: func() {}, wake: make(chan struct{}, 1)}
 }
 
-// Start begins to watch.
+// Start starts a goroutine for each kind and one that removes expired runners.
 func (w *Watcher) Start() {
 	ctx, cancel := context.WithCancel(context.Background())
 	w.stop = cancel
@@ -197,55 +201,56 @@
 	go w.runSweep(ctx)
 }
 
-// Stop ends the watches.
+// Stop ends all goroutines and waits for them.
 func (w *Watcher) Stop() {
 	w.stop()
 	w.wg.Wait()
 }
 
-// change takes in one event of a watch.
-func (w *Watcher) change(kind string, e core.Event) {
+// handleEvent handles one event of a watch. An event without a name ends an answer.
+func (w *Watcher) handleEvent(kind string, e core.Event) {
 	w.mu.Lock()
 	k := w.kinds[kind]
 	k.version = max(k.version, e.Object.Version)
 	if e.Object.Name != "" {
-		k.change = max(k.change, e.Object.Version)
+		k.lastChange = max(k.lastChange, e.Object.Version)
 		k.objects[e.Object.Name] = e.Object
 		if e.Deleted {
-			k.drop(e.Object.Name, e.Object.Version)
-			k.open++
+			k.recordDeletion(e.Object.Name, e.Object.Version)
+			k.openDeletions++
 		}
 	} else {
-		k.close(e.Object.Version)
+		k.endAnswer(e.Object.Version)
 	}
 	w.mu.Unlock()
 	if e.Object.Name != "" {
-		w.take(kind, e, w.healthyFor(kind))
+		w.apply(kind, e, w.healthyFor(kind))
 	}
 }
 
-// take hands one change on. healthy is how long the store had not failed for the
-// daemon that saw it.
-func (w *Watcher) take(kind string, e core.Event, healthy time.Duration) {
+// apply applies one change to the catalog or the settings tree. healthy is how long the
+// store had not failed for the daemon that received the change from it.
+func (w *Watcher) apply(kind string, e core.Event, healthy time.Duration) {
 	switch kind {
 	case w.reader.ConfigKind:
-		w.takeConfig(e)
+		w.applyConfig(e)
 	case w.reader.RunnerKind:
-		w.takeRunner(e, healthy)
+		w.applyRunner(e, healthy)
 	case core.KindTree:
-		w.takeBranch(e)
+		w.applyBranch(e)
 	}
 }
 
-// errRelist ends a watch that relist has cancelled. It is not the store's own
-// ErrGone, which makes the other kinds list again: two kinds would do so in turns
-// without end.
-var errRelist = errors.New("listed again")
+// errRelist is returned by a watch that was cancelled so that its kind is listed again. It
+// is not core.ErrGone, which makes the other kinds be listed again too: two kinds would
+// then make each other list without end.
+var errRelist = errors.New("watch cancelled to list again")
 
-// errFollows ends the watch of a daemon that takes changes from others now.
-var errFollows = errors.New("other daemons watch")
+// errFollowing is returned by a watch of a daemon that fetches changes from peers from now
+// on.
+var errFollowing = errors.New("other daemons watch")
 
-// watch runs one watch, which relist ends with errRelist.
+// watch runs one watch. It returns errRelist if kindState.cancel has ended it.
 func (w *Watcher) watch(ctx context.Context, kind string) error {
 	sub, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -254,30 +259,30 @@
 	k.cancel = cancel
 	version := k.version
 	w.mu.Unlock()
-	changed, follows := false, false
+	changed, following := false, false
 	err := w.store.Watch(sub, kind, version, func(e core.Event) {
-		w.works(kind)
-		w.change(kind, e)
+		w.recordSuccess(kind)
+		w.handleEvent(kind, e)
 		if e.Object.Name != "" {
 			changed = true
 			return
 		}
 		if changed {
-			// Once for each answer: one of a release tells of fifty runners.
-			w.changed(kind)
+			// Once for each answer: one during a release contains fifty runners.
+			w.onChange(kind)
 		}
-		if !w.active() {
-			follows = true
+		if !w.watches() {
+			following = true
 			cancel()
 			return
 		}
 		if changed && kind == w.reader.RunnerKind {
 			changed = false
-			core.Sleep(sub, w.clock, settle)
+			core.Sleep(sub, w.clock, settleTime)
 		}
 	})
-	if follows {
-		return errFollows
+	if following {
+		return errFollowing
 	}
 	if sub.Err() != nil && ctx.Err() == nil {
 		return errRelist
@@ -285,31 +290,31 @@
 	return err
 }
 
-// list reads all objects of a kind.
+// list reads all objects of a kind from the store.
 func (w *Watcher) list(ctx context.Context, kind string) error {
 	objects, version, err := w.store.List(ctx, kind)
 	if err != nil {
 		return err
 	}
-	w.works(kind)
-	w.adopt(kind, Copy{Version: version, Objects: objects, Healthy: w.healthyFor(kind)})
+	w.recordSuccess(kind)
+	w.applySnapshot(kind, Copy{Version: version, Objects: objects, Healthy: w.healthyFor(kind)})
 	return nil
 }
 
-// run lists a kind, then watches it from there; it lists again when the store
-// no longer has the history in between, or has failed. While the store fails it
-// takes the copy of another daemon that reaches it: the store may turn away some
-// VMs and serve the others.
+// run lists a kind and then watches it from that version. It lists again if the store no
+// longer has the history in between, or has failed. While the store fails, it fetches the
+// snapshot of a peer that reaches the store: the store may turn away some VMs and serve the
+// others.
 func (w *Watcher) run(ctx context.Context, kind string) {
 	defer w.wg.Done()
-	listed := w.begin(ctx, kind)
-	pause := firstPause
+	listed := w.fetchInitial(ctx, kind)
+	pause := minRetryPause
 	for ctx.Err() == nil {
-		if listed && !w.active() {
+		if listed && !w.watches() {
 			w.follow(ctx, kind)
 			continue
 		}
-		if w.leadsAgain(kind) {
+		if w.stopFollowing(kind) {
 			listed = false
 		}
 		var err error
@@ -323,47 +328,48 @@
 		if ctx.Err() != nil {
 			return
 		}
-		if errors.Is(err, errFollows) {
+		if errors.Is(err, errFollowing) {
 			continue
 		}
 		if errors.Is(err, core.ErrGone) || errors.Is(err, errRelist) {
-			// What one watch has missed the others may have missed as well.
+			// If this watch has missed changes, those of the other kinds may have as well.
 			if errors.Is(err, core.ErrGone) {
-				w.relist(kind)
+				w.relistOthers(kind)
 			}
 			w.log.Info(logs.WatchAnew, zap.String("kind", kind))
 			listed = false
 			continue
 		}
-		if w.fails(kind, err) {
-			pause = firstPause
+		if w.recordFailure(kind, err) {
+			pause = minRetryPause
 		}
-		if w.known(kind) > 0 && !w.active() {
-			// Others try; what they find out comes as changes to what is known here.
+		if w.version(kind) > 0 && !w.watches() {
+			// Peers keep trying; what they receive arrives as changes to the objects held
+			// here.
 			listed = true
 			continue
 		}
-		// The next try lists: its answer shows at once that the store is back,
-		// where a watch's would come with the next change or the end of its wait.
+		// The next attempt lists: the answer shows at once that the store is back, whereas
+		// that of a watch would come only with the next change or at the end of its wait.
 		listed = false
-		w.ask(ctx, kind)
+		w.fetchFromPeer(ctx, kind)
 		core.Sleep(ctx, w.clock, pause/2+rand.N(pause))
-		pause = min(2*pause, lastPause)
+		pause = min(2*pause, maxRetryPause)
 	}
 }
 
-// known is the version up to which all changes of a kind are known.
-func (w *Watcher) known(kind string) uint64 {
+// version returns the version up to which all changes of a kind have been received.
+func (w *Watcher) version(kind string) uint64 {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.kinds[kind].version
 }
 
-// fails notes a failure of the store, and says whether it is the first.
-func (w *Watcher) fails(kind string, err error) bool {
+// recordFailure records that the store failed, and returns whether it worked before.
+func (w *Watcher) recordFailure(kind string, err error) bool {
 	w.mu.Lock()
 	k := w.kinds[kind]
-	k.lost = w.clock.Now()
+	k.failedAt = w.clock.Now()
 	first := !k.failing
 	k.failing = true
 	w.mu.Unlock()
@@ -373,29 +379,29 @@
 	return first
 }
 
-// mayWork lets the store count as working here again when another daemon reaches it
-// and this one has not tried for a while.
-func (w *Watcher) mayWork(kind string, c Copy) {
+// expireFailure lets the store count as working here again if the peer that made the
+// snapshot reaches it and no call of this daemon has failed for failureExpiry.
+func (w *Watcher) expireFailure(kind string, c Copy) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	k := w.kinds[kind]
-	if !c.Stale && w.clock.Since(k.lost) > failMemory {
+	if !c.Stale && w.clock.Since(k.failedAt) > failureExpiry {
 		k.failing = false
 	}
 }
 
-// works notes that the store answers.
-func (w *Watcher) works(kind string) {
+// recordSuccess records that the store has answered.
+func (w *Watcher) recordSuccess(kind string) {
 	w.mu.Lock()
 	k := w.kinds[kind]
-	back := k.failing
+	regained := k.failing
 	k.failing = false
-	k.confirmed = w.clock.Now()
-	if back {
-		k.lost = w.clock.Now()
+	k.confirmedAt = w.clock.Now()
+	if regained {
+		k.failedAt = w.clock.Now()
 	}
 	w.mu.Unlock()
-	if back {
+	if regained {
 		w.log.Info(logs.StoreRegained, zap.String("kind", kind))
 	}
 }
--- a/coordination/watch/watch_test.go
+++ b/coordination/watch/watch_test.go
@@ -29,15 +29,15 @@
 	runners = "runners"
 )
 
-// spoiled is a runner's entry that can't be read.
-const spoiled = `"spoiled"`
+// unreadableEntry is a runner's entry that can't be read.
+const unreadableEntry = `"spoiled"`
 
-// node is one daemon's watches; its neighbour is another node.
+// node is one daemon's Watcher; it fetches snapshots from its peer.
 type node struct {
 	*Watcher
 	catalog *catalog.Catalog
 	client  *memory.Client
-	near    *node
+	peer    *node
 }
 
 func newNode(s *memory.Store, opts ...Option) *node {
@@ -52,23 +52,24 @@
 			return c, err
 		},
 		Runner: func(id string, body []byte) (*core.Runner, error) {
-			if string(body) == spoiled {
+			if string(body) == unreadableEntry {
 				return nil, core.ErrInvalid
 			}
 			return &core.Runner{ID: id, Service: "s", Draining: string(body) == `"draining"`}, nil
 		},
-	}, n.neighbour, n.catalog, clock, zap.NewNop(), opts...)
+	}, n.fetchSnapshot, n.catalog, clock, zap.NewNop(), opts...)
 	return n
 }
 
-func (n *node) neighbour(_ context.Context, kind, _ string, after uint64) (Copy, error) {
-	if n.near == nil {
+func (n *node) fetchSnapshot(_ context.Context, kind, _ string, after uint64) (Copy, error) {
+	if n.peer == nil {
 		return Copy{}, core.ErrUnavailable
 	}
-	return n.near.Copy(kind, after)
+	return n.peer.Copy(kind, after)
 }
 
-func (n *node) version() uint64 {
+// configVersion returns the version of the configuration in force, 0 if there is none.
+func (n *node) configVersion() uint64 {
 	if c := n.catalog.Config(); c != nil {
 		return c.Version
 	}
@@ -83,9 +84,9 @@
 	}
 }
 
-// Requests go by an old configuration for ten seconds. While the store drops its
-// history, watches that wait hear nothing and are not cut; the change made in
-// between must be found when the wait ends.
+// Guards against requests being served by an old configuration for ten seconds. While the
+// store drops its history, pending watches get no events and are not cut; the change made in
+// between must be found when their wait ends.
 func TestChangeInAForgottenHistory(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := memory.New()
@@ -93,17 +94,17 @@
 		n := newNode(s)
 		n.Start()
 		defer n.Stop()
-		within(t, time.Second, "first config", func() bool { return n.version() == 1 })
+		within(t, time.Second, "first config", func() bool { return n.configVersion() == 1 })
 		s.DropEvents(true)
 		s.Put(configs, "main", "2")
 		s.Forget()
 		s.DropEvents(false)
-		within(t, 4*time.Second, "second config", func() bool { return n.version() == 2 })
+		within(t, 4*time.Second, "second config", func() bool { return n.configVersion() == 2 })
 	})
 }
 
-// One of several daemons finds the change that all have missed; the others must
-// not wait for the end of their own watches.
+// If one of several daemons finds a change that the watches of all have missed, the others
+// must not wait for the end of their own watches.
 func TestNewerConfigOfAnotherDaemon(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := memory.New()
@@ -111,48 +112,49 @@
 		n := newNode(s)
 		n.Start()
 		defer n.Stop()
-		within(t, time.Second, "first config", func() bool { return n.version() == 1 })
+		within(t, time.Second, "first config", func() bool { return n.configVersion() == 1 })
 		s.DropEvents(true)
 		s.Put(configs, "main", "2")
 		s.DropEvents(false)
-		for range 3 { // beats repeat it; the first ones are given a moment
+		for range 3 { // as heartbeats repeat it; the first ones only start watchHintDelay
 			n.Hint("other", true, core.Changes{Config: s.Version()})
-			time.Sleep(hintPatience)
+			time.Sleep(watchHintDelay)
 		}
-		within(t, 100*time.Millisecond, "second config", func() bool { return n.version() == 2 })
+		within(t, 100*time.Millisecond, "second config", func() bool { return n.configVersion() == 2 })
 	})
 }
 
-// The store turns one VM away and serves the others: its requests go by an
-// old configuration and to runners that have left, for as long as that lasts.
+// While the store turns one VM away and serves the others, that VM must fetch snapshots
+// from a peer. Otherwise its requests are served by an old configuration and sent to runners
+// that have left, for as long as this lasts.
 func TestCopyOfAnotherDaemon(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := memory.New()
 		s.Put(configs, "main", "1")
 		s.Put(runners, "r1", `"ready"`)
 		a, b := newNode(s), newNode(s)
-		a.near = b
+		a.peer = b
 		for _, n := range []*node{a, b} {
 			n.Start()
 			defer n.Stop()
 		}
-		within(t, time.Second, "start", func() bool { return a.version() == 1 && b.version() == 1 })
+		within(t, time.Second, "start", func() bool { return a.configVersion() == 1 && b.configVersion() == 1 })
 		a.client.Cut(true)
 		s.Put(configs, "main", "2")
 		s.Put(runners, "r1", `"draining"`)
-		within(t, 2*time.Second, "copies", func() bool { return a.version() == 2 && !a.catalog.Runner("r1").Usable() })
+		within(t, 2*time.Second, "snapshots fetched", func() bool { return a.configVersion() == 2 && !a.catalog.Runner("r1").Usable() })
 		assert.Assert(t, a.Failing())
 		c, err := a.Copy(configs, 0)
 		assert.NilError(t, err)
 		assert.Assert(t, c.Stale)
 		a.client.Cut(false)
-		within(t, 2*time.Second, "return", func() bool { return !a.Failing() })
+		within(t, 2*time.Second, "store regained", func() bool { return !a.Failing() })
 	})
 }
 
-// Most of the fleet is dropped at the end of an outage: entries of live runners
-// lapse while the store is away and are back two seconds after its return. A
-// runner that leaves later on must get no work for two seconds more.
+// Guards against removing most of the fleet at the end of an outage of the store: entries
+// of live runners expire during the outage and are back two seconds after the store's
+// return. A runner that leaves after that must not get work for two more seconds.
 func TestLapsedEntries(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := memory.New()
@@ -169,7 +171,7 @@
 		time.Sleep(4 * time.Second)
 		n.client.Cut(false)
 		time.Sleep(time.Second)
-		assert.Assert(t, known("r1") && known("r2"), "lapsed entries are dropped at once")
+		assert.Assert(t, known("r1") && known("r2"), "runners with lapsed entries were removed at once")
 		s.Put(runners, "r1", `"ready"`)
 		within(t, 3*time.Second, "r2 gone", func() bool { return !known("r2") })
 		assert.Assert(t, known("r1"))
@@ -178,15 +180,15 @@
 	})
 }
 
-// A runner that has left gets work for as long as one daemon is turned away by
-// the store: its copies of others' lists lacked the runner, and each one began
-// the grace for lapsed entries anew.
+// Guards against sending work to a runner that has left, for as long as the store turns one
+// daemon away: the runner was missing in the snapshots that the daemon fetched from its
+// peers, and each of them started the grace for lapsed entries again.
 func TestMissingInACopyOfAHealthyDaemon(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := memory.New()
 		s.Put(runners, "r1", `"ready"`)
 		a, b := newNode(s), newNode(s)
-		a.near = b
+		a.peer = b
 		for _, n := range []*node{a, b} {
 			n.Start()
 			defer n.Stop()
@@ -199,21 +201,22 @@
 	})
 }
 
-// A runner that leaves gets work for seconds: the time of day was five seconds
-// ahead when the store failed, and was set back since. Only monotonic time may
-// decide how long the store has not failed.
+// Guards against sending work for seconds to a runner that leaves: the time of day was five
+// seconds ahead when the store failed, and was set back afterwards. How long the store has
+// not failed must be measured by monotonic time.
 func TestStepOfTheTimeOfDay(t *testing.T) {
 	n := newNode(memory.New())
-	n.fails(configs, core.ErrUnavailable)
-	lost := func() string { return n.kinds[configs].lost.String() }
-	assert.Assert(t, strings.Contains(lost(), "m="), "%v has no monotonic reading", lost())
-	n.works(configs)
-	assert.Assert(t, strings.Contains(lost(), "m="), "%v has no monotonic reading", lost())
+	n.recordFailure(configs, core.ErrUnavailable)
+	failedAt := func() string { return n.kinds[configs].failedAt.String() }
+	assert.Assert(t, strings.Contains(failedAt(), "m="), "%v has no monotonic reading", failedAt())
+	n.recordSuccess(configs)
+	assert.Assert(t, strings.Contains(failedAt(), "m="), "%v has no monotonic reading", failedAt())
 }
 
-// A runner that has left gets work for two seconds more: the store turned a call for
-// another kind away, and with it the grace for lapsed entries of runners began anew.
-func TestOtherKindsFailures(t *testing.T) {
+// Guards against sending work for two more seconds to a runner that has left: the store
+// turned away a call for another kind, which started the grace for lapsed entries of runners
+// again.
+func TestFailureOfAnotherKindStartsNoGrace(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := memory.New()
 		s.Put(runners, "r1", `"ready"`)
@@ -222,118 +225,118 @@
 		defer n.Stop()
 		within(t, time.Second, "start", func() bool { return n.catalog.Runner("r1") != nil })
 		time.Sleep(5 * time.Second)
-		n.fails(configs, core.ErrUnavailable)
+		n.recordFailure(configs, core.ErrUnavailable)
 		s.Remove(runners, "r1")
 		within(t, 500*time.Millisecond, "gone", func() bool { return n.catalog.Runner("r1") == nil })
 	})
 }
 
-// Each of thousands of daemons watches the store, which answers all of them at
-// each change. A few watch, the others take what changed from them, and watch
-// themselves when those have gone.
+// If each of thousands of daemons watches the store, it has to answer all of them at each
+// change. Only a few watch; the others fetch the changes from those, and watch themselves
+// when those have stopped.
 func TestFewDaemonsWatch(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := memory.New()
 		s.Put(configs, "main", "1")
-		var leads atomic.Bool
-		leads.Store(true)
+		var watches atomic.Bool
+		watches.Store(true)
 		a := newNode(s)
-		b := newNode(s, WithActive(leads.Load))
-		b.near = a
+		b := newNode(s, WithActive(watches.Load))
+		b.peer = a
 		for _, n := range []*node{a, b} {
 			n.Start()
 			defer n.Stop()
 		}
-		within(t, time.Second, "start", func() bool { return a.version() == 1 && b.version() == 1 })
-		leads.Store(false) // they have found each other
+		within(t, time.Second, "start", func() bool { return a.configVersion() == 1 && b.configVersion() == 1 })
+		watches.Store(false) // the daemons have discovered each other
 		time.Sleep(4 * time.Second)
 		calls := b.client.Calls()
 		for v := 2; v < 10; v++ {
 			s.Put(configs, "main", fmt.Sprint(v))
-			within(t, time.Second, "watched", func() bool { return a.version() == uint64(v) })
+			within(t, time.Second, "received by watch", func() bool { return a.configVersion() == uint64(v) })
 			b.Hint("a", true, a.Changes())
-			within(t, 100*time.Millisecond, "followed", func() bool { return b.version() == uint64(v) })
+			within(t, 100*time.Millisecond, "fetched from the peer", func() bool { return b.configVersion() == uint64(v) })
 		}
-		assert.Equal(t, b.client.Calls(), calls, "the follower asked the store")
+		assert.Equal(t, b.client.Calls(), calls, "a daemon that does not watch called the store")
 		a.client.Cut(true)
-		leads.Store(true)
+		watches.Store(true)
 		s.Put(configs, "main", "10")
-		within(t, time.Second, "leads", func() bool { return b.version() == 10 })
+		within(t, time.Second, "b watches again", func() bool { return b.configVersion() == 10 })
 	})
 }
 
-// A place whose own watcher has missed a change never learns of it, although
-// daemons of other places have told of it; or each daemon fetches each change from
-// another place. The word of another place counts when nobody near knows better
-// for a moment.
-func TestWordOfAnotherPlace(t *testing.T) {
+// A hint from another data centre counts only after no peer of the same data centre has
+// reported the change for remoteHintDelay. If it never counted, a data centre whose own
+// watching daemon has missed a change would never get it; if it counted at once, each daemon
+// would fetch each change from another data centre.
+func TestHintOfAnotherDataCentre(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := memory.New()
 		s.Put(configs, "main", "1")
-		var leads atomic.Bool
-		leads.Store(true)
-		a, b := newNode(s), newNode(s, WithActive(leads.Load))
-		b.near = a
+		var watches atomic.Bool
+		watches.Store(true)
+		a, b := newNode(s), newNode(s, WithActive(watches.Load))
+		b.peer = a
 		for _, n := range []*node{a, b} {
 			n.Start()
 			defer n.Stop()
 		}
-		within(t, time.Second, "start", func() bool { return a.version() == 1 && b.version() == 1 })
-		leads.Store(false)
+		within(t, time.Second, "start", func() bool { return a.configVersion() == 1 && b.configVersion() == 1 })
+		watches.Store(false)
 		time.Sleep(4 * time.Second)
 		s.Put(configs, "main", "2")
-		within(t, time.Second, "watched", func() bool { return a.version() == 2 })
-		b.Hint("a", false, a.Changes()) // told once
-		time.Sleep(farPatience / 2)
-		assert.Equal(t, b.version(), uint64(1), "fetched from another place at once")
-		within(t, farPatience+followCheck, "followed", func() bool { return b.version() == 2 })
+		within(t, time.Second, "received by watch", func() bool { return a.configVersion() == 2 })
+		b.Hint("a", false, a.Changes()) // reported once
+		time.Sleep(remoteHintDelay / 2)
+		assert.Equal(t, b.configVersion(), uint64(1), "fetched from another data centre at once")
+		within(t, remoteHintDelay+followInterval, "fetched from the peer", func() bool { return b.configVersion() == 2 })
 		s.Put(configs, "main", "3")
-		within(t, time.Second, "watched", func() bool { return a.version() == 3 })
+		within(t, time.Second, "received by watch", func() bool { return a.configVersion() == 3 })
 		b.Hint("a", false, a.Changes())
 		b.Hint("a", true, a.Changes())
-		within(t, 50*time.Millisecond, "followed one that is near", func() bool { return b.version() == 3 })
+		within(t, 50*time.Millisecond, "fetched from a peer of the same data centre", func() bool { return b.configVersion() == 3 })
 	})
 }
 
-// The store is asked for all objects again and again: each kind that is listed
-// again makes the other one be listed again.
-func TestForgottenHistoryIsListedOnce(t *testing.T) {
+// Guards against listing all objects again and again after the store has dropped its
+// history: each kind that was listed again made the other one be listed again.
+func TestDroppedHistoryIsListedOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := memory.New()
 		s.Put(configs, "main", "1")
 		n := newNode(s)
 		n.Start()
 		defer n.Stop()
-		within(t, time.Second, "first config", func() bool { return n.version() == 1 })
+		within(t, time.Second, "first config", func() bool { return n.configVersion() == 1 })
 		s.DropEvents(true)
 		s.Put(configs, "main", "2")
 		s.Forget()
 		s.DropEvents(false)
-		within(t, 4*time.Second, "second config", func() bool { return n.version() == 2 })
+		within(t, 4*time.Second, "second config", func() bool { return n.configVersion() == 2 })
 		before := n.client.Calls()
 		time.Sleep(10 * time.Second)
-		assert.Assert(t, n.client.Calls()-before < 30, "%d looks in ten seconds", n.client.Calls()-before)
+		assert.Assert(t, n.client.Calls()-before < 30, "%d calls and polls in ten seconds", n.client.Calls()-before)
 	})
 }
 
-// The same at its cause: a watch that is cancelled to list again must not pass
-// for one whose history the store has forgotten.
-func TestRelistIsNotAForgottenHistory(t *testing.T) {
+// Guards against the cause of the same fault: the error of a watch that was cancelled to
+// list again must differ from that of a watch whose history the store has dropped.
+func TestRelistIsNotErrGone(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		n := newNode(memory.New())
 		ended := make(chan error, 1)
 		go func() { ended <- n.watch(context.Background(), configs) }()
 		time.Sleep(time.Second)
-		n.relist("")
+		n.relistOthers("")
 		assert.Assert(t, !errors.Is(<-ended, core.ErrGone))
 	})
 }
 
 const branch = `{"node":{"set":{"concurrency":7}},"log":[]}`
 
-// Requests go by settings that operators have changed, or by a branch that they
-// have deleted: a daemon missed it while the store forgot its history. Changes and
-// deletions arrive by the watch and by lists alike.
+// Guards against requests being served by settings that operators have changed or by a
+// branch that they have deleted, after a daemon has missed that while the store dropped its
+// history. Changes and deletions must be applied both from a watch and from a list.
 func TestSettingsFollowTheStore(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := memory.New()
@@ -341,14 +344,14 @@
 		n := newNode(s, WithSettings(replica))
 		n.Start()
 		defer n.Stop()
-		within(t, time.Second, "known without any branch", func() bool { return replica.Tree() != nil })
+		within(t, time.Second, "tree known without any branch", func() bool { return replica.Tree() != nil })
 		limitOf := func() int { return replica.Tree().Effective(tree.Coord{Service: "s"}).Concurrency }
 		assert.Equal(t, limitOf(), 0)
 		s.Put(core.KindTree, "service.s", branch)
-		within(t, time.Second, "watched", func() bool { return limitOf() == 7 })
+		within(t, time.Second, "received by watch", func() bool { return limitOf() == 7 })
 		s.Put(core.KindTree, "service.s", `{"node":{"set":{"concurency":9}}}`)
-		within(t, time.Second, "fault told", func() bool { return len(replica.Problems()) == 1 })
-		assert.Equal(t, limitOf(), 7, "the good one stays in force")
+		within(t, time.Second, "problem reported", func() bool { return len(replica.Problems()) == 1 })
+		assert.Equal(t, limitOf(), 7, "the last readable branch stays in force")
 		s.DropEvents(true)
 		s.Remove(core.KindTree, "service.s")
 		s.Forget()
@@ -357,9 +360,9 @@
 	})
 }
 
-// A service whose settings must be fresh is refused at daemons that do not watch
-// the store, or is served for hours at one that is cut off from all: the age of
-// the settings goes from daemon to daemon, and grows on its way.
+// Requests of a service that requires recently confirmed settings must not be refused at
+// daemons that do not watch the store, nor served for hours at one that is cut off from all:
+// the age of the settings is passed from daemon to daemon, and grows on the way.
 func TestAgeOfSettings(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := memory.New()
@@ -375,7 +378,7 @@
 		time.Sleep(time.Minute)
 		assert.Assert(t, a.SettingsAge() > 55*time.Second, "%v", a.SettingsAge())
 		a.Confirm(s.Version()+1, 0)
-		assert.Assert(t, a.SettingsAge() > 55*time.Second, "the other knows a change that is not known here")
+		assert.Assert(t, a.SettingsAge() > 55*time.Second, "the peer has a change that this daemon does not have")
 		a.Confirm(s.Version(), 2*time.Second)
 		age := a.SettingsAge()
 		assert.Assert(t, age >= 2*time.Second && age < 3*time.Second, "%v", age)
@@ -385,41 +388,41 @@
 	})
 }
 
-// Callers of a daemon that has just been started are refused for as long as the
-// store is away, while all others serve by what they know. It takes a copy from
-// one of them; but a copy that may be old replaces nothing that is known.
-func TestStartedWhileTheStoreIsAway(t *testing.T) {
+// A daemon that starts during an outage of the store must not refuse its callers while its
+// peers serve theirs from what they hold. It uses a stale snapshot of a peer; but a stale
+// snapshot must not replace anything that it already holds.
+func TestStartDuringStoreOutage(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := memory.New()
 		s.Put(configs, "main", "1")
 		s.Put(runners, "r1", `"ready"`)
 		a, b := newNode(s), newNode(s)
-		b.near = a
+		b.peer = a
 		a.Start()
 		defer a.Stop()
-		within(t, time.Second, "start", func() bool { return a.version() == 1 && a.catalog.Runner("r1") != nil })
+		within(t, time.Second, "start", func() bool { return a.configVersion() == 1 && a.catalog.Runner("r1") != nil })
 		a.client.Cut(true)
 		b.client.Cut(true)
 		within(t, time.Second, "failing", a.Failing)
 		b.Start()
 		defer b.Stop()
-		within(t, time.Second, "known from the other", func() bool { return b.version() == 1 && b.catalog.Runner("r1") != nil })
+		within(t, time.Second, "snapshot fetched from the peer", func() bool { return b.configVersion() == 1 && b.catalog.Runner("r1") != nil })
 		s.Put(configs, "main", "2")
 		s.Remove(runners, "r1")
 		b.client.Cut(false)
-		within(t, 2*time.Second, "the store's own", func() bool { return b.version() == 2 })
+		within(t, 2*time.Second, "config read from the store", func() bool { return b.configVersion() == 2 })
 		time.Sleep(5 * time.Second)
 		assert.Assert(t, b.catalog.Runner("r1") == nil)
 		b.client.Cut(true)
 		time.Sleep(5 * time.Second)
-		assert.Assert(t, b.catalog.Runner("r1") == nil, "an old copy brings a runner back that is gone")
+		assert.Assert(t, b.catalog.Runner("r1") == nil, "a stale snapshot restored a runner that is gone")
 	})
 }
 
-// A runner that has left gets work at one daemon, or a live one is lost there: the
-// changes that daemons tell each other leave out a deletion, or delete an entry
-// that has come back. Whatever the store does, and however the first daemon learns
-// of it, a daemon that takes its changes ends with the same objects.
+// A runner that has left gets work at one daemon, or a live one is missing there, if the
+// incremental snapshots between daemons omit a deletion or delete an entry that was created
+// again. Whatever the store does, and whether the first daemon gets it by lists or watches,
+// a daemon that applies its snapshots must have the same objects in the end.
 func TestChangesBetweenDaemons(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		synctest.Test(t, func(*testing.T) {
@@ -433,36 +436,37 @@
 			rt.Repeat(map[string]func(*rapid.T){
 				"put":    func(*rapid.T) { s.Put(runners, name(), `"ready"`) },
 				"remove": func(*rapid.T) { s.Remove(runners, name()) },
-				"lists":  func(rt *rapid.T) { assert.NilError(rt, a.list(ctx, runners)) },
-				"watches": func(*rapid.T) {
+				"list":   func(rt *rapid.T) { assert.NilError(rt, a.list(ctx, runners)) },
+				"watch": func(*rapid.T) {
 					sub, cancel := context.WithCancel(ctx)
 					defer cancel()
-					err := a.client.Watch(sub, runners, a.known(runners), func(e core.Event) {
-						if e.Deleted { // the least that a store may tell of it
+					err := a.client.Watch(sub, runners, a.version(runners), func(e core.Event) {
+						if e.Deleted { // the smallest version that a store may report for a deletion
 							e.Object.Version = 1
 						}
-						a.change(runners, e)
+						a.handleEvent(runners, e)
 						if e.Object.Name == "" {
 							cancel()
 						}
 					})
 					assert.ErrorIs(rt, err, context.Canceled)
 				},
-				"asks": func(rt *rapid.T) {
-					c, err := a.Copy(runners, b.known(runners))
+				"fetch": func(rt *rapid.T) {
+					c, err := a.Copy(runners, b.version(runners))
 					assert.NilError(rt, err)
-					assert.Equal(rt, c.After, b.known(runners), "all again")
-					b.adopt(runners, c)
-					assert.Equal(rt, b.known(runners), a.known(runners))
-					assert.DeepEqual(rt, held(b), held(a))
+					assert.Equal(rt, c.After, b.version(runners), "a full snapshot")
+					b.applySnapshot(runners, c)
+					assert.Equal(rt, b.version(runners), a.version(runners))
+					assert.DeepEqual(rt, runnerVersions(b), runnerVersions(a))
 				},
 			})
 		})
 	})
 }
 
-// held are the runners that a node knows, with the versions of their entries.
-func held(n *node) map[string]uint64 {
+// runnerVersions returns the versions of the runners' entries that a node holds, 0 for a
+// runner that is not in its catalog.
+func runnerVersions(n *node) map[string]uint64 {
 	out := map[string]uint64{}
 	for name, o := range n.kinds[runners].objects {
 		out[name] = o.Version
@@ -473,21 +477,21 @@
 	return out
 }
 
-// At the end of an outage the store has thousands of calls to answer, each of which
-// is counted: all daemons ask it again and again. The first few try, the others wait
-// for their word, and all know what has changed a moment after the store's return;
-// also where the store turned away just those that watched.
-func TestFewDaemonsTryDuringAnOutage(t *testing.T) {
+// If all daemons retry during an outage, the store has thousands of calls to answer at its
+// end, each of which is counted. Only the first few retry, the others wait for their
+// reports, and all must have the changes soon after the store's return, also if the store
+// turned away only those daemons that watched.
+func TestFewDaemonsRetryDuringOutage(t *testing.T) {
 	cases := []struct {
 		name string
-		cut  int // of twelve daemons
+		cut  int // how many of the twelve daemons the store turns away
 	}{{"all", 12}, {"the first two, which watched", 2}}
-	for _, one := range cases {
+	for _, c := range cases {
 		synctest.Test(t, func(t *testing.T) {
 			s := memory.New()
 			s.Put(configs, "main", "1")
 			var nodes []*node
-			watches := func(i int) bool { // as the daemons decide
+			watches := func(i int) bool { // as daemons decide in services/fleet
 				failing, before := nodes[i].Failing(), 0
 				for _, other := range nodes[:i] {
 					if failing || !other.Failing() {
@@ -500,7 +504,7 @@
 				nodes = append(nodes, newNode(s, WithActive(func() bool { return watches(i) })))
 			}
 			for i, n := range nodes {
-				n.near = nodes[(i+5)%len(nodes)]
+				n.peer = nodes[(i+5)%len(nodes)]
 				n.Start()
 				defer n.Stop()
 			}
@@ -511,7 +515,7 @@
 				wg.Wait()
 			}()
 			wg.Add(1)
-			go func() { // the daemons tell each other
+			go func() { // heartbeats
 				defer wg.Done()
 				for ctx.Err() == nil {
 					for _, from := range nodes {
@@ -524,7 +528,7 @@
 			}()
 			all := func(version uint64) func() bool {
 				return func() bool {
-					return !slices.ContainsFunc(nodes, func(n *node) bool { return n.version() != version })
+					return !slices.ContainsFunc(nodes, func(n *node) bool { return n.configVersion() != version })
 				}
 			}
 			within(t, time.Second, "start", all(1))
@@ -533,7 +537,7 @@
 			for _, n := range nodes {
 				before += n.client.Calls()
 			}
-			for _, n := range nodes[:one.cut] {
+			for _, n := range nodes[:c.cut] {
 				n.client.Cut(true)
 			}
 			time.Sleep(5 * time.Second)
@@ -541,15 +545,15 @@
 			for _, n := range nodes {
 				calls += n.client.Calls()
 			}
-			assert.Assert(t, calls < 150, "%s: %d calls in five seconds", one.name, calls)
+			assert.Assert(t, calls < 150, "%s: %d calls in five seconds", c.name, calls)
 			s.Put(configs, "main", "2")
 			for _, n := range nodes {
 				n.client.Cut(false)
 			}
-			within(t, 2*time.Second, one.name, all(2))
+			within(t, 2*time.Second, c.name, all(2))
 			time.Sleep(time.Minute)
 			s.Put(configs, "main", "3")
-			within(t, 2*time.Second, one.name+", a minute later", all(3))
+			within(t, 2*time.Second, c.name+", a minute later", all(3))
 		})
 	}
 }
