--- a/coordination/peers/fleet.go
+++ b/coordination/peers/fleet.go
@@ -19,7 +19,7 @@
 const (
 	kindHeartbeat = "beat"
 	kindReply     = "answer"
-	// kindWho requests the heartbeat of a daemon whose addresses are not known.
+	// kindWho requests the heartbeat of a daemon that is not known here.
 	kindWho = "who"
 	// kindLookup requests the addresses of daemons from a hub, by the codes of their names.
 	kindLookup = "names"
@@ -69,7 +69,7 @@
 }
 
 // reportToHubs sends this daemon's report to its hubs and, if it acts as a hub, summaries
-// to its group and to the other hubs. With urgent it sends only what must not wait for the
+// to its group and to the other hubs. urgent is set for changes that must not wait for the
 // next interval.
 func (p *Peers) reportToHubs(urgent bool) {
 	report := p.report()
--- a/coordination/peers/peers.go
+++ b/coordination/peers/peers.go
@@ -26,7 +26,7 @@
 	// directly to each other, so that states are as recent as possible; sixteen daemons cost
 	// each other 80 datagrams a second. Larger fleets use hubs (package roster).
 	smallFleet = 16
-	// aliveTimeout is how long a peer counts as alive after its last datagram: three
+	// aliveTimeout is how long a peer counts as alive after its last heartbeat: three
 	// heartbeats to another data centre may be lost.
 	aliveTimeout = 1500 * time.Millisecond
 	// forgetAfter is how long heartbeats are still sent to an unreachable peer. If a daemon
@@ -89,9 +89,9 @@
 	usage    map[core.Code]core.Usage
 }
 
-// Handler handles a message of a peer; answer sends the reply to a request. It must not
+// Handler handles a message of a peer; reply sends the reply to a request. It must not
 // block.
-type Handler func(from Peer, body json.RawMessage, answer func(any))
+type Handler func(from Peer, body json.RawMessage, reply func(any))
 
 // Peers is a daemon's view of the other daemons.
 type Peers struct {
@@ -277,7 +277,7 @@
 	return n
 }
 
-// alive returns whether a hub's summary lists the peer as alive, or its last datagram is
+// alive returns whether a hub's summary lists the peer as alive, or its last heartbeat is
 // younger than aliveTimeout.
 func (k *knownPeer) alive(now time.Time) bool { return k.listed || now.Sub(k.lastSeen) < aliveTimeout }
 
@@ -303,7 +303,7 @@
 	var lastRemote time.Time
 	var sent State
 	for ctx.Err() == nil {
-		p.reportUsage()
+		p.notifyUsage()
 		if p.Large() {
 			p.reportToHubs(false)
 			core.Sleep(ctx, p.clock, roster.TellEvery)
--- a/coordination/peers/usage.go
+++ b/coordination/peers/usage.go
@@ -8,8 +8,8 @@
 	"primroseward/core"
 )
 
-// reportUsage passes the peers' usage of the workspaces' allowances to onUsage.
-func (p *Peers) reportUsage() {
+// notifyUsage passes the peers' usage of the workspaces' allowances to onUsage.
+func (p *Peers) notifyUsage() {
 	p.mu.Lock()
 	now := p.clock.Now()
 	reachable, known := p.countDaemons(now)
