--- a/coordination/dispatch/demand.go
+++ b/coordination/dispatch/demand.go
@@ -6,16 +6,16 @@
 	"primroseward/core"
 )
 
-// Want is what requests ask for: a model of a service, or an adapter of it.
+// Want is a model of a service, or an adapter of it, that requests need.
 type Want struct {
 	Service string `json:"service"`
 	Model   string `json:"model"`
 	Adapter string `json:"adapter,omitempty"`
-	// Busy: the runners that have the adapter are full; another one is wanted.
+	// Busy is set if the runners that have the adapter are full and another one is needed.
 	Busy bool `json:"busy,omitempty"`
 }
 
-// Demand counts what requests ask for.
+// Demand counts the requests for each model and adapter.
 type Demand struct {
 	mu     sync.Mutex
 	counts map[Want]float64
@@ -24,10 +24,10 @@
 // NewDemand returns an empty Demand.
 func NewDemand() *Demand { return &Demand{counts: map[Want]float64{}} }
 
-// workUnit is how many output tokens count as much as reading a prompt.
+// workUnit is how many output tokens cost as much as reading a prompt.
 const workUnit = 100
 
-// Count counts a request by the work it asks for.
+// Count counts a request, weighted by its work.
 func (d *Demand) Count(service string, q *core.Request) {
 	if q.Model == "" {
 		return
@@ -37,7 +37,7 @@
 	d.counts[Want{Service: service, Model: q.Model, Adapter: q.Adapter}] += 1 + float64(q.MaxOutput)/workUnit
 }
 
-// Take returns the counts since the last call.
+// Take returns the counts since the last call and resets them.
 func (d *Demand) Take() map[Want]float64 {
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/coordination/dispatch/dispatch_test.go
+++ b/coordination/dispatch/dispatch_test.go
@@ -24,10 +24,10 @@
 	"primroseward/io/logs"
 )
 
-// Whatever runners do, in whatever order: what may not be repeated runs once; a
-// refusal says the truth; no runner sees more attempts than the route allows;
-// a stream that ends whole has each event once; every request has its answer
-// by its deadline.
+// Whatever runners do, in whatever order: a request that is not repeatable runs at most
+// once, a refusal states truly whether the request ran, a request runs no more often than
+// its route allows attempts, a complete stream has each event once, and every request is
+// answered by its deadline.
 func TestPromisesWhateverRunnersDo(t *testing.T) {
 	routes := []*core.Route{
 		route(core.KindUnsafe, false, 2), route(core.KindSafe, false, 2), route(core.KindSafe, false, 3),
@@ -35,7 +35,7 @@
 	}
 	rapid.Check(t, func(rt *rapid.T) {
 		r := rapid.SampledFrom(routes).Draw(rt, "route")
-		script := rapid.SliceOfN(rapid.IntRange(0, int(acts)-1), 8, 8).Draw(rt, "acts")
+		script := rapid.SliceOfN(rapid.IntRange(0, int(numActs)-1), 8, 8).Draw(rt, "acts")
 		runners := rapid.IntRange(0, 5).Draw(rt, "runners")
 		var (
 			f            *fleet
@@ -47,7 +47,7 @@
 		)
 		synctest.Test(t, func(*testing.T) {
 			step := 0
-			f = &fleet{next: func(string) act {
+			f = &fleet{nextAct: func(string) act {
 				step++
 				return act(script[(step-1)%len(script)])
 			}}
@@ -56,8 +56,8 @@
 			status, body, err = call(d, r)
 			took, stillRunning = time.Since(began), d.Running()
 		})
-		// Outside of the bubble: a failed check ends its goroutine, and rapid then
-		// shrinks the case and prints it.
+		// These checks are outside of the synctest bubble: a failed check ends its goroutine, and
+		// rapid then shrinks the case and prints it.
 		assert.Assert(rt, took <= r.Timeout+time.Millisecond, "%v", took)
 		if !r.Repeatable() {
 			assert.Assert(rt, len(f.runs) <= 1, "ran at %v", f.runs)
@@ -68,7 +68,7 @@
 			assert.Equal(rt, len(f.runs), 0, "refused, though it ran at %v", f.runs)
 		}
 		if status == http.StatusOK && err == nil {
-			assert.Equal(rt, body, pieces("", events))
+			assert.Equal(rt, body, eventText("", eventCount))
 		}
 		for _, o := range f.sends {
 			assert.Assert(rt, o.Timeout > 0 && o.Timeout <= r.Timeout)
@@ -86,21 +86,21 @@
 		runs  int
 	}{
 		{"served", route(core.KindUnsafe, false, 1), nil, 200, 1},
-		{"another runner after a rejection", route(core.KindUnsafe, false, 1), []act{rejects}, 200, 1},
-		{"another runner where one is unreachable", route(core.KindUnsafe, false, 1), []act{unreachable}, 200, 1},
-		{"an unsafe request is not repeated", route(core.KindUnsafe, false, 3), []act{loses}, 502, 1},
-		{"a safe request is repeated", route(core.KindSafe, false, 2), []act{loses}, 200, 2},
-		{"a safe request that fails is repeated", route(core.KindSafe, false, 2), []act{fails}, 200, 2},
+		{"retried at another runner after a rejection", route(core.KindUnsafe, false, 1), []act{rejects}, 200, 1},
+		{"retried at another runner if one is unreachable", route(core.KindUnsafe, false, 1), []act{unreachable}, 200, 1},
+		{"an unsafe request is not retried", route(core.KindUnsafe, false, 3), []act{losesAnswer}, 502, 1},
+		{"a safe request is retried", route(core.KindSafe, false, 2), []act{losesAnswer}, 200, 2},
+		{"a safe request that fails is retried", route(core.KindSafe, false, 2), []act{fails}, 200, 2},
 		{"a failure is passed on", route(core.KindUnsafe, false, 2), []act{fails}, 500, 1},
 		{"the last failure is passed on", route(core.KindSafe, false, 2), []act{fails, fails}, 500, 2},
-		{"a success without signature is none", route(core.KindUnsafe, false, 1), []act{unsigned}, 502, 1},
-		{"nothing by the deadline", route(core.KindUnsafe, false, 1), []act{hangs}, 504, 1},
+		{"a success without signature is rejected", route(core.KindUnsafe, false, 1), []act{unsigned}, 502, 1},
+		{"no answer by the deadline", route(core.KindUnsafe, false, 1), []act{hangs}, 504, 1},
 		{"all reject", route(core.KindUnsafe, false, 1), []act{rejects, rejects, rejects, rejects, rejects}, 503, 0},
-		{"a stream goes on elsewhere", route(core.KindStream, true, 2), []act{breaksOff}, 200, 2},
+		{"a stream is resumed elsewhere", route(core.KindStream, true, 2), []act{breaksOff}, 200, 2},
 	}
 	for _, one := range cases {
 		synctest.Test(t, func(t *testing.T) {
-			f := &fleet{next: script(one.acts...)}
+			f := &fleet{nextAct: script(one.acts...)}
 			status, _, _ := call(newDispatcher(f, 5), one.route)
 			assert.Equal(t, status, one.want, one.name)
 			assert.Equal(t, len(f.runs), one.runs, one.name)
@@ -108,12 +108,12 @@
 	}
 }
 
-// plainFull is more than a runner of a test takes.
+// plainFull is more requests than a runner of these tests accepts.
 const plainFull = 16
 
-// A runner that leaves gets a request that was on its way to be sent.
-func TestLeavingRunnersGetNothing(t *testing.T) {
-	f := &fleet{next: script()}
+// A runner that leaves must not get requests that have arrived but are not sent yet.
+func TestLeavingRunnersGetNoRequests(t *testing.T) {
+	f := &fleet{nextAct: script()}
 	d := newDispatcher(f, 2)
 	for _, id := range []string{"r0", "r1"} {
 		e := *d.catalog.Runner(id)
@@ -125,18 +125,18 @@
 	assert.Equal(t, len(f.runs), 0)
 }
 
-func TestPickKeepsTheWeights(t *testing.T) {
+func TestPickServiceByWeight(t *testing.T) {
 	counts := map[string]int{}
 	for range 10000 {
-		counts[pick([]core.Share{{Service: "a", Weight: 90}, {Service: "b", Weight: 10}})]++
+		counts[pickService([]core.Share{{Service: "a", Weight: 90}, {Service: "b", Weight: 10}})]++
 	}
 	assert.Assert(t, counts["a"] > 8700 && counts["a"] < 9300, "%v", counts)
-	assert.Equal(t, pick([]core.Share{{Service: "a", Weight: 0}}), "a")
-	assert.Assert(t, slices.Contains([]string{"a", "b"}, pick([]core.Share{{Service: "a", Weight: 1}, {Service: "b", Weight: 1}})))
+	assert.Equal(t, pickService([]core.Share{{Service: "a", Weight: 0}}), "a")
+	assert.Assert(t, slices.Contains([]string{"a", "b"}, pickService([]core.Share{{Service: "a", Weight: 1}, {Service: "b", Weight: 1}})))
 }
 
-// An engineer has only the log of a request that failed. Each way to fail leaves
-// a line that names its cause, with the request's id.
+// The log must be enough to find out why a request failed: each kind of failure is logged
+// with its cause and the request's id.
 func TestEachFailureIsLogged(t *testing.T) {
 	unsafe, safe, open := route(core.KindUnsafe, false, 1), route(core.KindSafe, false, 2), route(core.KindStream, false, 1)
 	cases := []struct {
@@ -150,24 +150,24 @@
 		value   string
 	}{
 		{"no runner has the model", unsafe, 2, "other", nil, logs.Refused, "code", "absent"},
-		{"why it could not be placed", unsafe, 2, "other", nil, logs.ModelNotPlaced, "error", "unavailable"},
+		{"why it could not be loaded", unsafe, 2, "other", nil, logs.ModelNotPlaced, "error", "unavailable"},
 		{"no runner at all", unsafe, 0, "m", nil, logs.Refused, "code", "absent"},
 		{"all reject", unsafe, 4, "m", []act{rejects, rejects, rejects, rejects}, logs.Refused, "code", "rejected"},
 		{"each rejection", unsafe, 4, "m", []act{rejects, rejects, rejects, rejects}, logs.RunnerRejected, "runner", "r"},
-		{"all that there are reject", unsafe, 1, "m", []act{rejects}, logs.Refused, "code", "exhausted"},
-		{"none is reached", unsafe, 6, "m", []act{unreachable, unreachable, unreachable, unreachable}, logs.Refused, "code", "unreachable"},
-		{"each that is not reached", unsafe, 6, "m", []act{unreachable}, logs.RunnerUnreachable, "error", "dial"},
-		{"lost", unsafe, 3, "m", []act{loses}, logs.AnswerLost, "error", "reset"},
-		{"lost and tried again", safe, 3, "m", []act{loses}, logs.AnswerRetried, "error", "reset"},
-		{"failed and tried again", safe, 3, "m", []act{fails}, logs.RunnerFailed, "runner", "r"},
+		{"all available runners reject", unsafe, 1, "m", []act{rejects}, logs.Refused, "code", "exhausted"},
+		{"all are unreachable", unsafe, 6, "m", []act{unreachable, unreachable, unreachable, unreachable}, logs.Refused, "code", "unreachable"},
+		{"each unreachable runner", unsafe, 6, "m", []act{unreachable}, logs.RunnerUnreachable, "error", "dial"},
+		{"lost", unsafe, 3, "m", []act{losesAnswer}, logs.AnswerLost, "error", "reset"},
+		{"lost and retried", safe, 3, "m", []act{losesAnswer}, logs.AnswerRetried, "error", "reset"},
+		{"failed and retried", safe, 3, "m", []act{fails}, logs.RunnerFailed, "runner", "r"},
 		{"unsigned", unsafe, 3, "m", []act{unsigned}, logs.AnswerLost, "error", "signature"},
 		{"late", unsafe, 3, "m", []act{hangs}, logs.DeadlineExceeded, "request", "q"},
-		{"a cut stream", open, 3, "m", []act{breaksOff}, logs.AnswerLost, "error", "unexpected EOF"},
-		{"a silent stream", route(core.KindStream, true, 2), 3, "m", []act{freezes}, logs.RunnerMute, "runner", "r"},
+		{"a broken stream", open, 3, "m", []act{breaksOff}, logs.AnswerLost, "error", "unexpected EOF"},
+		{"a stalled stream", route(core.KindStream, true, 2), 3, "m", []act{stalls}, logs.RunnerMute, "runner", "r"},
 	}
 	for _, one := range cases {
 		synctest.Test(t, func(t *testing.T) {
-			d := newDispatcher(&fleet{next: script(one.acts...)}, one.runners)
+			d := newDispatcher(&fleet{nextAct: script(one.acts...)}, one.runners)
 			seen, lines := observer.New(zap.InfoLevel)
 			d.log = zap.New(seen)
 			q := &core.Request{ID: "q", Model: one.model, Header: http.Header{}, Arrived: d.clock.Now()}
@@ -185,14 +185,14 @@
 	}
 }
 
-// An operator cannot follow a slow request: each attempt has a span of its own, which
-// ends with its answer, below the span that the request came with.
+// Operators must be able to follow a slow request: each attempt has its own span below the
+// span of the request, and the span ends with the answer.
 func TestEachAttemptHasASpan(t *testing.T) {
 	spans := tracetest.NewSpanRecorder()
 	before := otel.GetTracerProvider()
 	otel.SetTracerProvider(sdk.NewTracerProvider(sdk.WithSpanProcessor(spans)))
 	defer otel.SetTracerProvider(before)
-	d := newDispatcher(&fleet{next: script(breaksOff)}, 3)
+	d := newDispatcher(&fleet{nextAct: script(breaksOff)}, 3)
 	ctx, parent := otel.Tracer("test").Start(context.Background(), "request")
 	q := &core.Request{ID: "q", Model: "m", Header: http.Header{}, Arrived: d.clock.Now()}
 	reply, err := d.Do(ctx, route(core.KindStream, true, 2), q)
--- a/coordination/dispatch/events.go
+++ b/coordination/dispatch/events.go
@@ -8,17 +8,17 @@
 // maxEvent bounds an event of a stream, in bytes.
 const maxEvent = 1 << 20
 
-// eventReader reads a stream of server-sent events. Whole events only are handed
-// on, so that a stream that breaks inside of one can go on elsewhere.
+// eventReader reads a stream of server-sent events. It returns only complete events, so
+// that a stream that breaks off within an event can be resumed elsewhere.
 type eventReader struct {
-	in   io.Reader
-	buf  []byte
-	last string // id of the last whole event handed on
-	err  error
+	in     io.Reader
+	buf    []byte
+	lastID string // id of the last complete event returned
+	err    error
 }
 
-// next returns the whole events that have come, at least one. At the end of
-// the stream it returns what is left after the last whole event, and io.EOF.
+// next returns the complete events that have arrived, at least one. At the end of the
+// stream it returns the data after the last complete event, and io.EOF.
 func (e *eventReader) next() ([]byte, error) {
 	var chunk [8 << 10]byte
 	for e.err == nil {
@@ -28,7 +28,7 @@
 		if end := wholeEvents(e.buf); end > 0 {
 			out := e.buf[:end:end]
 			e.buf = append([]byte(nil), e.buf[end:]...)
-			e.note(out)
+			e.recordLastID(out)
 			return out, nil
 		}
 		if len(e.buf) > maxEvent {
@@ -43,7 +43,7 @@
 	return nil, e.err
 }
 
-// wholeEvents is the length of the whole events at the start of b. An empty
+// wholeEvents returns the length of the complete events at the start of b. An empty
 // line ends an event.
 func wholeEvents(b []byte) int {
 	end := bytes.LastIndex(b, []byte("\n\n")) + 2
@@ -56,11 +56,11 @@
 	return end
 }
 
-// note remembers the last id of a run of whole events.
-func (e *eventReader) note(b []byte) {
+// recordLastID records the last id in a series of complete events.
+func (e *eventReader) recordLastID(b []byte) {
 	for line := range bytes.Lines(b) {
 		if id, ok := bytes.CutPrefix(line, []byte("id:")); ok {
-			e.last = string(bytes.TrimSpace(id))
+			e.lastID = string(bytes.TrimSpace(id))
 		}
 	}
 }
--- a/coordination/dispatch/fake_test.go
+++ b/coordination/dispatch/fake_test.go
@@ -26,43 +26,43 @@
 	serves act = iota
 	unreachable
 	rejects
-	fails     // answers 500
-	loses     // runs it, no answer
-	breaksOff // a stream, in the middle of an event
-	hangs     // until the deadline
-	unsigned  // a success without its signature
-	freezes   // a stream, after some events, without a word
-	pauses    // a stream, for longer than others are given up for
-	deserted  // unreachable, as nothing listens
-	acts
+	fails       // answers 500
+	losesAnswer // runs it and gives no answer
+	breaksOff   // breaks a stream off in the middle of an event
+	hangs       // gives no answer until the deadline
+	unsigned    // answers with success but without its signature
+	stalls      // stalls a stream after some events
+	pauses      // pauses a stream for longer than the limit on silence
+	noListener  // is unreachable because nothing listens on its address
+	numActs
 )
 
-const events = 6
+const eventCount = 6
 
-// fleet answers for all runners as a test tells it to.
+// fleet answers for all runners as scripted by a test.
 type fleet struct {
-	mu     sync.Mutex
-	next   func(runner string) act
-	runs   []string // runners that ran the request
-	sends  []core.Outgoing
-	limits map[string]core.RateLimit // that runners name
+	mu      sync.Mutex
+	nextAct func(runner string) act
+	runs    []string // runners that ran the request
+	sends   []core.Outgoing
+	limits  map[string]core.RateLimit // limits that the runners announce
 }
 
 func (f *fleet) Send(ctx context.Context, r *core.Runner, _ *core.Request, o core.Outgoing) (*core.Reply, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.sends = append(f.sends, o)
-	a := f.next(r.ID)
-	if a != unreachable && a != deserted && a != rejects {
+	a := f.nextAct(r.ID)
+	if a != unreachable && a != noListener && a != rejects {
 		f.runs = append(f.runs, r.ID)
 	}
 	info := core.ReplyInfo{Stamped: true, Limit: f.limits[r.ID]}
 	switch a {
 	case unreachable:
 		return nil, eris.Wrap(core.ErrNotSent, "dial")
-	case deserted:
+	case noListener:
 		return nil, fmt.Errorf("%w: %w", core.ErrNotSent, core.ErrNoListener)
-	case loses:
+	case losesAnswer:
 		return nil, eris.Wrap(core.ErrLost, "reset")
 	case hangs:
 		f.mu.Unlock()
@@ -76,22 +76,22 @@
 		return answer(http.StatusInternalServerError, info, "failed", nil), nil
 	case unsigned:
 		return answer(http.StatusOK, core.ReplyInfo{}, "ok", nil), nil
-	case freezes:
-		return answer(http.StatusOK, info, pieces(o.LastEvent, 2), silent{ctx}), nil
+	case stalls:
+		return answer(http.StatusOK, info, eventText(o.LastEvent, 2), stalledConn{ctx}), nil
 	case pauses:
-		before := pieces(o.LastEvent, 2)
-		after := strings.TrimPrefix(pieces(o.LastEvent, events), before)
-		body := io.MultiReader(strings.NewReader(before), &late{ctx: ctx, text: after})
+		before := eventText(o.LastEvent, 2)
+		after := strings.TrimPrefix(eventText(o.LastEvent, eventCount), before)
+		body := io.MultiReader(strings.NewReader(before), &delayedReader{ctx: ctx, text: after})
 		return &core.Reply{Status: http.StatusOK, Header: http.Header{}, Info: info, Body: io.NopCloser(body)}, nil
 	case breaksOff:
-		return answer(http.StatusOK, info, pieces(o.LastEvent, 3)+"id: 4\nda", io.ErrUnexpectedEOF), nil
+		return answer(http.StatusOK, info, eventText(o.LastEvent, 3)+"id: 4\nda", io.ErrUnexpectedEOF), nil
 	default:
-		return answer(http.StatusOK, info, pieces(o.LastEvent, events), nil), nil
+		return answer(http.StatusOK, info, eventText(o.LastEvent, eventCount), nil), nil
 	}
 }
 
-// pieces is the events after last up to n.
-func pieces(last string, n int) string {
+// eventText returns the events after the one with id last, up to n.
+func eventText(last string, n int) string {
 	var b strings.Builder
 	from := 0
 	_, _ = fmt.Sscan(last, &from)
@@ -102,39 +102,39 @@
 }
 
 func answer(status int, info core.ReplyInfo, text string, end error) *core.Reply {
-	return &core.Reply{Status: status, Header: http.Header{}, Info: info, Body: io.NopCloser(&ends{strings.NewReader(text), end})}
+	return &core.Reply{Status: status, Header: http.Header{}, Info: info, Body: io.NopCloser(&errorReader{strings.NewReader(text), end})}
 }
 
-// ends gives an error instead of io.EOF.
-type ends struct {
+// errorReader returns an error instead of io.EOF.
+type errorReader struct {
 	io.Reader
 	err error
 }
 
-func (e *ends) Read(p []byte) (int, error) {
+func (e *errorReader) Read(p []byte) (int, error) {
 	n, err := e.Reader.Read(p)
 	if err != io.EOF || e.err == nil {
 		return n, err
 	}
-	if s, ok := e.err.(silent); ok {
+	if s, ok := e.err.(stalledConn); ok {
 		<-s.ctx.Done()
 	}
 	return n, e.err
 }
 
-// late gives its text after a pause that is longer than others are given up for.
-type late struct {
+// delayedReader returns its text after a pause longer than the limit on silence.
+type delayedReader struct {
 	ctx  context.Context
 	text string
 	done *strings.Reader
 }
 
-const latePause = stallLeast + 500*time.Millisecond
+const longPause = minStall + 500*time.Millisecond
 
-func (l *late) Read(p []byte) (int, error) {
+func (l *delayedReader) Read(p []byte) (int, error) {
 	if l.done == nil {
 		select {
-		case <-time.After(latePause):
+		case <-time.After(longPause):
 		case <-l.ctx.Done():
 			return 0, l.ctx.Err()
 		}
@@ -143,11 +143,11 @@
 	return l.done.Read(p)
 }
 
-// silent is the end of an answer whose connection gives no sign until it is
-// dropped.
-type silent struct{ ctx context.Context }
+// stalledConn is the error of an answer whose connection sends nothing more and stays open until
+// the caller closes it.
+type stalledConn struct{ ctx context.Context }
 
-func (silent) Error() string { return "closed" }
+func (stalledConn) Error() string { return "closed" }
 
 type noPlacer struct{}
 
@@ -155,7 +155,7 @@
 	return "", 0, core.ErrUnavailable
 }
 
-// newDispatcher has n runners with model m.
+// newDispatcher returns a Dispatcher with n runners that have model m.
 func newDispatcher(f *fleet, n int) *Dispatcher {
 	clock := clockwork.NewRealClock()
 	c := catalog.New(clock)
@@ -181,7 +181,7 @@
 	return callWith(d, r, 0)
 }
 
-// callWith is call with a prompt of a number of tokens.
+// callWith is like call with a prompt of the given number of tokens.
 func callWith(d *Dispatcher, r *core.Route, tokens int) (status int, body string, err error) {
 	q := &core.Request{ID: "q", Model: "m", Input: tokens, Header: http.Header{}, Arrived: d.clock.Now(), Timeout: 3 * time.Second}
 	reply, err := d.Do(context.Background(), r, q)
--- a/coordination/dispatch/limits_test.go
+++ b/coordination/dispatch/limits_test.go
@@ -13,16 +13,16 @@
 	"primroseward/core"
 )
 
-// A limited runner, which has fewer requests in progress than others, is chosen by requests
-// that any of them could serve; or callers get no true answer where all are limited.
-func TestLimitedRunnersAreLeftToThoseThatNeedThem(t *testing.T) {
+// A limited runner must not be chosen by requests that other runners can serve, even if it
+// has fewer requests in progress. If all runners are limited, the refusal must be true.
+func TestLimitedRunnersAreReserved(t *testing.T) {
 	const rate, requests = 2, 100 // over ten seconds
 	for _, tt := range []struct {
-		name    string
-		limited []string
-		runners int
-		served  [2]int // least and most
-		there   [2]int // least and most runs at limited runners
+		name      string
+		limited   []string
+		runners   int
+		served    [2]int // least and most
+		atLimited [2]int // least and most runs at limited runners
 	}{
 		{"one of three", []string{"r0"}, 3, [2]int{requests, requests}, [2]int{2, 10 * rate}},
 		{"the only one", []string{"r0"}, 1, [2]int{8 * rate, 10*rate + 3}, [2]int{8 * rate, 10*rate + 3}},
@@ -30,7 +30,7 @@
 	} {
 		t.Run(tt.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				f := &fleet{next: script(), limits: map[string]core.RateLimit{}}
+				f := &fleet{nextAct: script(), limits: map[string]core.RateLimit{}}
 				d := newDispatcher(f, tt.runners)
 				d.limits.Heard(1, 1, nil)
 				for _, r := range tt.limited {
@@ -53,24 +53,24 @@
 					}
 					time.Sleep(100 * time.Millisecond)
 				}
-				there := 0
+				atLimited := 0
 				for _, r := range f.runs {
 					if f.limits[r].Named {
-						there++
+						atLimited++
 					}
 				}
 				assert.Assert(t, served >= tt.served[0] && served <= tt.served[1], "%d served", served)
-				assert.Assert(t, there >= tt.there[0] && there <= tt.there[1], "%d at limited runners", there)
+				assert.Assert(t, atLimited >= tt.atLimited[0] && atLimited <= tt.atLimited[1], "%d at limited runners", atLimited)
 			})
 		})
 	}
 }
 
-// What is taken of a limit for a send that is not made, or does not arrive, is lost to
-// others.
-func TestUnusedLimitIsGivenBack(t *testing.T) {
+// What is taken from a limit for a send that is not made or does not arrive must be available
+// to other requests again.
+func TestUnusedLimitIsReturned(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f := &fleet{next: func(string) act { return unreachable }, limits: map[string]core.RateLimit{}}
+		f := &fleet{nextAct: func(string) act { return unreachable }, limits: map[string]core.RateLimit{}}
 		d := newDispatcher(f, 1)
 		d.limits.Heard(1, 1, nil)
 		d.limits.Answered("r0", core.ReplyInfo{Limit: core.RateLimit{Named: true, Rate: 2}})
--- a/coordination/dispatch/metrics.go
+++ b/coordination/dispatch/metrics.go
@@ -10,22 +10,22 @@
 	"primroseward/core"
 )
 
-// latencies are the bounds of the histogram of times to the answer, or to a
-// stream's first event. Targets lie between 0.1 and 3 s.
-var latencies = tally.DurationBuckets{
+// latencyBuckets are the bounds of the histogram of times to the answer, or to a
+// stream's first event. Target latencies lie between 0.1 and 3 s.
+var latencyBuckets = tally.DurationBuckets{
 	10 * time.Millisecond, 20 * time.Millisecond, 50 * time.Millisecond, 100 * time.Millisecond, 200 * time.Millisecond,
 	300 * time.Millisecond, 500 * time.Millisecond, time.Second, 2 * time.Second, 3 * time.Second, 5 * time.Second, 10 * time.Second,
 }
 
-// outcomes of requests as the metrics name them.
+// Outcomes of requests, as labels of metrics.
 const (
 	outcomeServed  = "served"
-	outcomeRefused = "refused" // not run, the caller may come back
-	outcomeLost    = "lost"    // may have run, no whole answer
+	outcomeRefused = "refused" // not run, the caller may retry
+	outcomeLost    = "lost"    // may have run, no complete answer
 	outcomeTimeout = "timeout"
-	outcomeFailed  = "failed" // a runner's own failure, passed on
-	outcomeGone    = "gone"   // the caller has left
-	outcomeCut     = "cut"    // a stream that ended early, counted beside served
+	outcomeFailed  = "failed" // a failure of the runner itself, passed on
+	outcomeGone    = "gone"   // the caller has disconnected
+	outcomeCut     = "cut"    // a stream that broke off, counted in addition to served
 )
 
 // metrics counts requests.
@@ -36,15 +36,15 @@
 }
 
 func newMetrics(scope tally.Scope) *metrics {
-	m := &metrics{scope: scope, outcomes: map[string]tally.Counter{}, latency: scope.Histogram("request_seconds", latencies)}
+	m := &metrics{scope: scope, outcomes: map[string]tally.Counter{}, latency: scope.Histogram("request_seconds", latencyBuckets)}
 	for _, o := range []string{outcomeServed, outcomeRefused, outcomeLost, outcomeTimeout, outcomeFailed, outcomeGone, outcomeCut} {
 		m.outcomes[o] = scope.Tagged(map[string]string{"outcome": o}).Counter("requests")
 	}
 	return m
 }
 
-// done counts the end of a request, or a stream's first event.
-func (m *metrics) done(took time.Duration, reply *core.Reply, err error) {
+// requestDone counts the end of a request, or a stream's first event.
+func (m *metrics) requestDone(took time.Duration, reply *core.Reply, err error) {
 	m.latency.RecordDuration(took)
 	m.outcomes[outcomeOf(reply, err)].Inc(1)
 	var re *core.RequestError
@@ -73,5 +73,5 @@
 	}
 }
 
-// cut counts a stream that ended early after its answer had begun.
-func (m *metrics) cut() { m.outcomes[outcomeCut].Inc(1) }
+// streamCut counts a stream that broke off after its answer had begun.
+func (m *metrics) streamCut() { m.outcomes[outcomeCut].Inc(1) }
--- a/coordination/dispatch/restart.go
+++ b/coordination/dispatch/restart.go
@@ -5,60 +5,60 @@
 	"sync"
 )
 
-// inFlight are the sends that have not ended, by a key.
+// inFlight holds the cancel functions of sends in progress, by key.
 type inFlight[K comparable] struct {
-	mu   sync.Mutex
-	next uint64
-	by   map[K]map[uint64]context.CancelFunc
+	mu      sync.Mutex
+	next    uint64
+	cancels map[K]map[uint64]context.CancelFunc
 }
 
-// add keeps a send until done is called.
-func (f *inFlight[K]) add(key K, drop context.CancelFunc) (done func()) {
+// add holds a send until done is called.
+func (f *inFlight[K]) add(key K, cancel context.CancelFunc) (done func()) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if f.by == nil {
-		f.by = map[K]map[uint64]context.CancelFunc{}
+	if f.cancels == nil {
+		f.cancels = map[K]map[uint64]context.CancelFunc{}
 	}
-	if f.by[key] == nil {
-		f.by[key] = map[uint64]context.CancelFunc{}
+	if f.cancels[key] == nil {
+		f.cancels[key] = map[uint64]context.CancelFunc{}
 	}
 	f.next++
-	id, sends := f.next, f.by[key]
-	sends[id] = drop
-	// Each event of a stream says again that the answer has begun; only the first one has
-	// to wait for the lock that all requests share.
+	id, sends := f.next, f.cancels[key]
+	sends[id] = cancel
+	// done is called for each event of a stream. Only the first call needs the lock, which
+	// all requests share.
 	return sync.OnceFunc(func() {
 		f.mu.Lock()
 		defer f.mu.Unlock()
 		delete(sends, id)
-		if now := f.by[key]; len(now) == 0 {
-			delete(f.by, key)
+		if now := f.cancels[key]; len(now) == 0 {
+			delete(f.cancels, key)
 		}
 	})
 }
 
-// take returns the sends of a key and forgets them.
-func (f *inFlight[K]) take(key K) []context.CancelFunc {
+// removeAll removes and returns the sends of a key.
+func (f *inFlight[K]) removeAll(key K) []context.CancelFunc {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	var out []context.CancelFunc
-	for _, drop := range f.by[key] {
-		out = append(out, drop)
+	for _, cancel := range f.cancels[key] {
+		out = append(out, cancel)
 	}
-	delete(f.by, key)
+	delete(f.cancels, key)
 	return out
 }
 
-// Forget drops what is known of a runner that is gone.
-func (d *Dispatcher) Forget(runner string) { d.pace.Forget(runner) }
+// Forget drops the state of a runner that is gone.
+func (d *Dispatcher) Forget(runner string) { d.pacer.Forget(runner) }
 
-// Restarted ends the sends to a runner that has started again under its id. A runner
-// that lost its power resets nothing: its callers would wait until their deadline for
-// answers that its new life knows nothing of. A stream that may be resumed goes on
-// elsewhere, another request is answered at once.
+// Restarted cancels the sends to a runner that has started again under the same ID. A runner
+// that lost its power does not reset its connections: its callers would wait until their
+// deadline for answers that the new instance can't give. A resumable stream continues
+// elsewhere, and other requests are answered at once.
 func (d *Dispatcher) Restarted(runner string) {
 	d.Forget(runner)
-	for _, drop := range d.sent.take(runner) {
-		drop()
+	for _, cancel := range d.byRunner.removeAll(runner) {
+		cancel()
 	}
 }
--- a/coordination/dispatch/restart_test.go
+++ b/coordination/dispatch/restart_test.go
@@ -11,23 +11,23 @@
 	"primroseward/core"
 )
 
-// A runner loses its power and starts again under its id. Callers whose streams were
-// there wait in silence until their deadline, although the runner's entry tells that
-// nothing will come. A stream that may be resumed goes on elsewhere at once, another
-// one ends, and the new life is not marked for it.
+// A runner loses its power and starts again under the same ID. Callers of streams there must
+// not wait until their deadline although the runner's entry shows that the former instance
+// is gone. A resumable stream continues elsewhere at once, another one ends, and the new
+// instance gets no penalty for it.
 func TestStreamsOfAFormerLife(t *testing.T) {
 	cases := []struct {
 		name      string
 		resumable bool
-	}{{"goes on elsewhere", true}, {"ends", false}}
+	}{{"resumed elsewhere", true}, {"ends", false}}
 	for _, one := range cases {
 		synctest.Test(t, func(t *testing.T) {
 			f := &fleet{}
 			first := true
-			f.next = func(string) act {
+			f.nextAct = func(string) act {
 				if first {
 					first = false
-					return freezes
+					return stalls
 				}
 				return serves
 			}
@@ -46,48 +46,48 @@
 			assert.Assert(t, time.Since(began) < 200*time.Millisecond, "%s: after %v", one.name, time.Since(began))
 			if one.resumable {
 				assert.NilError(t, err)
-				assert.Equal(t, body, pieces("", events))
+				assert.Equal(t, body, eventText("", eventCount))
 			} else {
 				assert.Assert(t, err != nil && !errors.Is(err, core.ErrNotSent), "%v", err)
 			}
 			penalty := d.loads.View(f.runs[0]).Penalty
 			assert.Equal(t, penalty, 0.0)
-			assert.Equal(t, len(d.sent.by), 0)
+			assert.Equal(t, len(d.byRunner.cancels), 0)
 		})
 	}
 }
 
-// For seconds after a runner's crash each request for a model is sent to it first, and
-// the ones that follow a failure cost the repeats of the budget. One refused connection
-// tells, the others are told of it once, and requests go elsewhere until it answers.
+// After a runner's crash, requests for a model must not be sent to it first for seconds, as
+// each of them would cost a retry from the budget. After one refused connection other daemons
+// are notified once, and requests go elsewhere until the runner answers again.
 func TestRefusedConnection(t *testing.T) {
-	f := &fleet{next: func(id string) act {
+	f := &fleet{nextAct: func(id string) act {
 		if id == "r0" {
-			return deserted
+			return noListener
 		}
 		return serves
 	}}
 	d := newDispatcher(f, 2)
-	told := 0
-	WithDown(func() { told++ })(d)
+	downCalls := 0
+	WithDown(func() { downCalls++ })(d)
 	for range 40 {
 		_, body, err := call(d, route(core.KindStream, false, 1))
 		assert.NilError(t, err)
-		assert.Equal(t, body, pieces("", events))
+		assert.Equal(t, body, eventText("", eventCount))
 	}
-	assert.Equal(t, len(f.sends), 41, "one request met the refusal")
-	assert.Equal(t, told, 1)
+	assert.Equal(t, len(f.sends), 41, "one request had its connection refused")
+	assert.Equal(t, downCalls, 1)
 	assert.Assert(t, d.loads.Down("r0") && !d.loads.Down("r1"))
-	f.next = func(string) act { return serves }
+	f.nextAct = func(string) act { return serves }
 	d.catalog.Lapse("r1", time.Now())
 	d.catalog.Sweep(time.Now())
 	_, _, err := call(d, route(core.KindStream, false, 1))
-	assert.NilError(t, err, "the only runner that is left is tried")
+	assert.NilError(t, err, "the only remaining runner is tried")
 	assert.Assert(t, !d.loads.Down("r0"))
 }
 
-// Requests go to runners where nothing listens, again and again, as the runners that are
-// up are full or hold no copy, and are refused late.
+// If the runners that are up are full or don't have the model, requests must not be sent
+// again and again to runners where nothing listens, and so be refused late.
 func TestRunnersThatHaveEndedAreNotTriedAgainAndAgain(t *testing.T) {
 	for _, tt := range []struct {
 		name  string
@@ -99,7 +99,7 @@
 		{"it is the only one", false, "down", 1},
 	} {
 		synctest.Test(t, func(t *testing.T) {
-			f := &fleet{next: func(string) act { return deserted }}
+			f := &fleet{nextAct: func(string) act { return noListener }}
 			d := newDispatcher(f, 2)
 			d.loads.Refused("r0")
 			if tt.full {
@@ -118,10 +118,10 @@
 			assert.Equal(t, core.AsRequestError(err).Code, tt.code, tt.name)
 			assert.Equal(t, len(f.sends), tt.sends, tt.name)
 			time.Sleep(5 * time.Second)
-			f.next = func(string) act { return serves }
+			f.nextAct = func(string) act { return serves }
 			if !tt.full {
 				_, _, err = call(d, route(core.KindStream, false, 1))
-				assert.NilError(t, err, "it is back under its id")
+				assert.NilError(t, err, "it is back under the same ID")
 			}
 		})
 	}
--- a/coordination/dispatch/room_test.go
+++ b/coordination/dispatch/room_test.go
@@ -10,13 +10,13 @@
 	"primroseward/core"
 )
 
-// asked keeps what the holder of orders was asked for, and answers with a runner.
-type asked struct {
+// recordingPlacer records what the holder of orders is asked for and returns a fixed runner.
+type recordingPlacer struct {
 	wants  []Want
 	runner string
 }
 
-func (a *asked) Place(_ context.Context, w Want) (string, time.Duration, error) {
+func (a *recordingPlacer) Place(_ context.Context, w Want) (string, time.Duration, error) {
 	a.wants = append(a.wants, w)
 	if a.runner == "" {
 		return "", 0, core.ErrUnavailable
@@ -24,10 +24,10 @@
 	return a.runner, 0, nil
 }
 
-// A request for an adapter is refused while another copy of its model has room: the
-// runners that have the adapter are full, or have crashed. It is loaded where the room
-// is; where there is none, and for a request without an adapter, nobody is asked.
-func TestRoomElsewhereForAnAdapter(t *testing.T) {
+// If all runners with an adapter are full or down, the adapter is loaded on another replica
+// of its model that has capacity, instead of refusing the request. If there is none, or for
+// requests without an adapter, no placement is requested.
+func TestCapacityElsewhereForAdapter(t *testing.T) {
 	const slots = 4
 	cases := []struct {
 		name    string
@@ -36,22 +36,22 @@
 		wants   []Want
 		runs    []string
 	}{
-		{"has room", "a1", func(*Dispatcher, func(string)) {}, nil, []string{"r0"}},
+		{"has capacity", "a1", func(*Dispatcher, func(string)) {}, nil, []string{"r0"}},
 		{"is full", "a1", func(_ *Dispatcher, fill func(string)) { fill("r0") }, []Want{{"s", "m", "a1", true}}, []string{"r1"}},
 		{"is down", "a1", func(d *Dispatcher, _ func(string)) { d.loads.Refused("r0") }, []Want{{"s", "m", "a1", true}}, []string{"r1"}},
 		{"all are full", "a1", func(_ *Dispatcher, fill func(string)) { fill("r0"); fill("r1") }, nil, nil},
 		{"the other is down", "a1", func(d *Dispatcher, fill func(string)) { fill("r0"); d.loads.Refused("r1") }, nil, nil},
-		{"nobody has it", "a2", func(*Dispatcher, func(string)) {}, []Want{{"s", "m", "a2", false}}, []string{"r1"}},
+		{"no runner has it", "a2", func(*Dispatcher, func(string)) {}, []Want{{"s", "m", "a2", false}}, []string{"r1"}},
 		{"no adapter", "", func(_ *Dispatcher, fill func(string)) { fill("r0"); fill("r1") }, nil, nil},
 	}
 	for _, one := range cases {
-		f := &fleet{next: script(serves, serves)}
+		f := &fleet{nextAct: script(serves, serves)}
 		d := newDispatcher(f, 2)
-		placer := &asked{runner: "r1"}
+		placer := &recordingPlacer{runner: "r1"}
 		d.placer = placer
 		d.catalog.Learn("r0", "m", "a1", true)
 		one.prepare(d, func(id string) {
-			for range plenty * slots {
+			for range overload * slots {
 				d.loads.Begin(id)
 			}
 		})
@@ -66,5 +66,5 @@
 	}
 }
 
-// plenty is a load in parts of a runner's slots beyond any that is allowed.
-const plenty = 4
+// overload is a load above any that is allowed, as a multiple of a runner's slots.
+const overload = 4
--- a/coordination/dispatch/send.go
+++ b/coordination/dispatch/send.go
@@ -12,37 +12,37 @@
 	"primroseward/core"
 )
 
-// tracer names the spans of attempts.
+// tracer is the name of the tracer for spans of attempts.
 const tracer = "primroseward"
 
-// send sends the request to a runner and keeps count of it until the answer's
+// send sends the request to a runner and counts it as in progress there until the answer's
 // body is closed.
 func (j *job) send(ctx context.Context, r *core.Runner) (*core.Reply, error) {
 	left := j.deadline.Sub(j.d.clock.Now())
 	if left <= 0 {
 		return nil, eris.Wrap(core.ErrNotSent, "deadline exceeded")
 	}
-	out := core.Outgoing{Timeout: left, Instance: r.ID, Priority: -1, LastEvent: j.last}
+	out := core.Outgoing{Timeout: left, Instance: r.ID, Priority: -1, LastEvent: j.lastEvent}
 	if j.q.Model != "" {
 		out.Priority = j.rank()
 	}
 	if j.q.Workspace != nil {
 		out.Workspace = j.q.Workspace.Name
 	}
-	j.charge()
+	j.chargeAllowance()
 	if j.sends == 0 {
-		j.d.budget.First(j.service)
+		j.d.budget.CountFirst(j.service)
 	}
 	j.sends++
-	j.sent(r.ID)
+	j.chargeLimit(r.ID)
 	j.sentAt, j.stage = j.d.clock.Now(), stageSent
 	j.tried[r.ID] = true
 	ctx, span := otel.Tracer(tracer).Start(ctx, "attempt", trace.WithAttributes(attribute.String("runner", r.ID), attribute.Int("number", j.sends)))
-	leave := j.d.loads.Begin(r.ID)
-	ctx, j.drop = context.WithCancel(ctx)
-	done := j.d.sent.add(r.ID, j.drop)
-	j.began = j.d.asked.add(j.q.Digest, j.drop)
-	reply, err := j.sendOrStall(ctx, r, out)
+	endLoad := j.d.loads.Begin(r.ID)
+	ctx, j.cancelSend = context.WithCancel(ctx)
+	done := j.d.byRunner.add(r.ID, j.cancelSend)
+	j.answerBegan = j.d.unanswered.add(j.q.Digest, j.cancelSend)
+	reply, err := j.sendWithStallCheck(ctx, r, out)
 	if err == nil && !reply.Info.NotRun || err != nil && !errors.Is(err, core.ErrNotSent) {
 		j.runs++
 	}
@@ -53,38 +53,38 @@
 		span.RecordError(err)
 		span.End()
 		done()
-		j.began()
-		j.drop()
-		leave()
+		j.answerBegan()
+		j.cancelSend()
+		endLoad()
 		return nil, err
 	}
-	j.stage, j.begunAt = stageHead, j.d.clock.Now()
+	j.stage, j.answeredAt = stageHead, j.d.clock.Now()
 	j.d.limits.Answered(r.ID, reply.Info)
 	if reply.Info.Load != nil {
 		j.d.loads.Said(r.ID, *reply.Info.Load)
 	}
-	drop, began := j.drop, j.began
-	reply.Body = &ending{ReadCloser: reply.Body, end: func() {
+	cancelSend, answerBegan := j.cancelSend, j.answerBegan
+	reply.Body = &closeHook{ReadCloser: reply.Body, onClose: func() {
 		span.End()
 		done()
-		began()
-		drop()
-		leave()
+		answerBegan()
+		cancelSend()
+		endLoad()
 	}}
 	return reply, nil
 }
 
-// repeatable says whether the request may be sent again after it may have run.
-func (j *job) repeatable() bool { return j.route.Repeatable() && j.eff.Repeat }
+// repeatable reports whether the request may be sent again after it may have run.
+func (j *job) repeatable() bool { return j.route.Repeatable() && j.effective.Repeat }
 
-// mayRepeat takes one more send from the budget, if the route allows one.
-func (j *job) mayRepeat() bool {
-	kept := j.kept
-	j.kept = false
-	return j.attemptsLeft(0) && (kept || j.d.budget.Repeat(j.service))
+// takeRetry takes a retry from the budget, if the route allows one.
+func (j *job) takeRetry() bool {
+	kept := j.retryReserved
+	j.retryReserved = false
+	return j.attemptsLeft(0) && (kept || j.d.budget.TakeRetry(j.service))
 }
 
-// attemptsLeft says whether the route allows one more run besides those that are pending.
+// attemptsLeft reports whether the route allows one more run in addition to the pending ones.
 func (j *job) attemptsLeft(pending int) bool {
 	return j.repeatable() && j.runs+pending < j.route.MaxAttempts
 }
--- a/coordination/dispatch/settings_test.go
+++ b/coordination/dispatch/settings_test.go
@@ -19,14 +19,14 @@
 	"primroseward/state/tree"
 )
 
-// held is a dispatcher whose two runners are in places north and south, with a
-// settings tree of one service node.
-func held(t *testing.T, f *fleet, set tree.Settings, age time.Duration) *Dispatcher {
+// newDispatcherWithSettings returns a Dispatcher with one runner each in the data centres
+// north and south, and a settings tree with one service node.
+func newDispatcherWithSettings(t *testing.T, f *fleet, set tree.Settings, age time.Duration) *Dispatcher {
 	t.Helper()
 	d := newDispatcher(f, 2)
-	for i, place := range []string{"north", "south"} {
+	for i, dataCentre := range []string{"north", "south"} {
 		r := d.catalog.Runner(fmt.Sprint("r", i)).Runner
-		r.Place = place
+		r.Place = dataCentre
 		d.catalog.Put(r, d.clock.Now())
 	}
 	body, err := json.Marshal(tree.Stored{Node: &tree.Node{Set: set}})
@@ -38,9 +38,9 @@
 	return d
 }
 
-// Regulated data leaves the places that operators allow, or a limit of theirs is
-// not kept, because requests go by the configuration alone. Each request is held
-// to the settings tree, at its first send and at each one after.
+// Requests must obey the settings tree and not the configuration alone: otherwise regulated
+// data leaves the data centres that operators allow, or their limits are not kept. The tree
+// is checked at the first send and at each further one.
 func TestRequestsAreHeldToTheSettings(t *testing.T) {
 	south, nowhere, never := []string{"south"}, []string{"west"}, false
 	cases := []struct {
@@ -53,11 +53,11 @@
 		code  string
 		runs  []string
 	}{
-		{"the allowed place", tree.Settings{Places: &south}, 0, route(core.KindSafe, false, 2), nil, 200, "", []string{"r1"}},
-		{"no other place after a failure", tree.Settings{Places: &south}, 0, route(core.KindSafe, false, 2), []act{loses}, 502, "exhausted", []string{"r1"}},
-		{"no other place for a broken stream", tree.Settings{Places: &south}, 0, route(core.KindStream, true, 2), []act{breaksOff}, 200, "exhausted", []string{"r1"}},
-		{"a place without runners", tree.Settings{Places: &nowhere}, 0, route(core.KindSafe, false, 2), nil, 503, "absent", nil},
-		{"not to be repeated", tree.Settings{Repeat: &never}, 0, route(core.KindSafe, false, 2), []act{loses}, 502, "answer_lost", []string{"r"}},
+		{"the allowed data centre", tree.Settings{Places: &south}, 0, route(core.KindSafe, false, 2), nil, 200, "", []string{"r1"}},
+		{"no other data centre after a failure", tree.Settings{Places: &south}, 0, route(core.KindSafe, false, 2), []act{losesAnswer}, 502, "exhausted", []string{"r1"}},
+		{"no other data centre for a broken stream", tree.Settings{Places: &south}, 0, route(core.KindStream, true, 2), []act{breaksOff}, 200, "exhausted", []string{"r1"}},
+		{"a data centre without runners", tree.Settings{Places: &nowhere}, 0, route(core.KindSafe, false, 2), nil, 503, "absent", nil},
+		{"no retries", tree.Settings{Repeat: &never}, 0, route(core.KindSafe, false, 2), []act{losesAnswer}, 502, "answer_lost", []string{"r"}},
 		{"a shorter deadline", tree.Settings{Deadline: core.Duration(50 * time.Millisecond)}, 0, route(core.KindUnsafe, false, 1), []act{hangs}, 504, "timeout", []string{"r"}},
 		{"a smaller body", tree.Settings{Body: 3}, 0, route(core.KindSafe, false, 2), nil, 413, "body_too_large", nil},
 		{"fresh enough", tree.Settings{Fresh: core.Duration(time.Second)}, time.Second / 2, route(core.KindSafe, false, 2), nil, 200, "", []string{"r"}},
@@ -66,8 +66,8 @@
 	}
 	for _, one := range cases {
 		synctest.Test(t, func(t *testing.T) {
-			f := &fleet{next: script(one.acts...)}
-			d := held(t, f, one.set, one.age)
+			f := &fleet{nextAct: script(one.acts...)}
+			d := newDispatcherWithSettings(t, f, one.set, one.age)
 			q := &core.Request{ID: "q", Model: "m", Header: http.Header{}, Body: []byte("belt"), Arrived: d.clock.Now(), Timeout: 3 * time.Second}
 			reply, err := d.Do(context.Background(), one.route, q)
 			status := 0
@@ -93,13 +93,13 @@
 	}
 }
 
-// A stream goes on in a place that operators have taken away since it began: each
-// further attempt goes by the settings of its moment.
+// A stream must not be resumed in a data centre that operators have excluded since it began:
+// each further attempt follows the settings then in force.
 func TestSettingsChangeBetweenAttempts(t *testing.T) {
 	f := &fleet{}
-	d := held(t, f, tree.Settings{}, 0)
+	d := newDispatcherWithSettings(t, f, tree.Settings{}, 0)
 	replica := d.settings.replica
-	f.next = func(id string) act {
+	f.nextAct = func(id string) act {
 		other := map[string]string{"r0": "north", "r1": "south"}[id]
 		body, err := json.Marshal(tree.Stored{Node: &tree.Node{Set: tree.Settings{Places: &[]string{other}}}})
 		assert.NilError(t, err)
@@ -108,16 +108,16 @@
 	}
 	_, body, err := call(d, route(core.KindStream, true, 2))
 	assert.Equal(t, core.AsRequestError(err).Code, "exhausted")
-	assert.Equal(t, body, pieces("", 3))
+	assert.Equal(t, body, eventText("", 3))
 	assert.Equal(t, len(f.runs), 1, "%v", f.runs)
 }
 
-// A service takes the whole system down: operators bound its requests in progress
-// and its rate, and no daemon counts.
+// Operators limit the requests in progress and the rate of a service that would overload the
+// system, and each Dispatcher must enforce these limits.
 func TestLimitsOfTheSettings(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f := &fleet{next: func(string) act { return hangs }}
-		d := held(t, f, tree.Settings{Concurrency: 2}, 0)
+		f := &fleet{nextAct: func(string) act { return hangs }}
+		d := newDispatcherWithSettings(t, f, tree.Settings{Concurrency: 2}, 0)
 		var wg sync.WaitGroup
 		for range 2 {
 			wg.Add(1)
@@ -132,8 +132,8 @@
 		assert.Equal(t, core.AsRequestError(err).Outcome, core.OutcomeNotRun)
 		assert.Assert(t, core.AsRequestError(err).Retry > 0)
 		wg.Wait()
-		f.next = script()
+		f.nextAct = script()
 		status, _, _ = call(d, route(core.KindUnsafe, false, 1))
-		assert.Equal(t, status, http.StatusOK, "the ones before are counted out")
+		assert.Equal(t, status, http.StatusOK, "ended requests no longer count")
 	})
 }
--- a/coordination/dispatch/silence.go
+++ b/coordination/dispatch/silence.go
@@ -13,9 +13,10 @@
 	"primroseward/io/logs"
 )
 
-// sendOrStall gives a stream that may be repeated up when its runner is silent.
-func (j *job) sendOrStall(ctx context.Context, r *core.Runner, out core.Outgoing) (*core.Reply, error) {
-	watch := j.watchSilence(r, max(stallLeast, stallTargets*j.route.Target), 1)
+// sendWithStallCheck sends the request, and gives up the attempt of a resumable stream if its
+// runner sends nothing.
+func (j *job) sendWithStallCheck(ctx context.Context, r *core.Runner, out core.Outgoing) (*core.Reply, error) {
+	watch := j.watchForStall(r, max(minStall, stallTargets*j.route.Target), 1)
 	defer watch.stop()
 	reply, err := j.d.sender.Send(ctx, r, j.q, out)
 	if err == nil {
@@ -24,15 +25,14 @@
 	return reply, err
 }
 
-// watchSilence drops the latest send's connection when its runner has been
-// silent for a time, if the stream may go on elsewhere. A runner that loses its
-// power or its network resets nothing: its streams stand still until the caller
-// gives up two seconds later, and only silence tells. A runner that sends
-// anything else in that time is alive and only slow; to leave it would move the
-// load of an overloaded runner to the next one. pending is how many sends are not
-// counted as runs yet.
-func (j *job) watchSilence(r *core.Runner, limit time.Duration, pending int) *silence {
-	s := &silence{job: j, runner: r.ID, limit: limit, pending: pending, drop: j.drop, began: j.d.clock.Now()}
+// watchForStall cancels the latest send when its runner has sent nothing for the given limit,
+// if the stream can be resumed elsewhere. A runner that loses its power or its network does
+// not reset its connections: its streams stall until the caller gives up two seconds later,
+// and silence is the only sign. A runner that sends anything on any of its connections in that
+// time is only slow, and leaving it would move the load of an overloaded runner to the next
+// one. pending is the number of sends that are not counted as runs yet.
+func (j *job) watchForStall(r *core.Runner, limit time.Duration, pending int) *stallWatch {
+	s := &stallWatch{job: j, runner: r.ID, limit: limit, pending: pending, cancelSend: j.cancelSend, began: j.d.clock.Now()}
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if j.route.Kind == core.KindStream && j.repeatable() {
@@ -41,57 +41,57 @@
 	return s
 }
 
-// silence is a watch of one runner.
-type silence struct {
-	job     *job
-	runner  string
-	limit   time.Duration
-	pending int
-	drop    context.CancelFunc
-	began   time.Time
-	mu      sync.Mutex
-	timer   clockwork.Timer
+// stallWatch detects that a runner has stalled.
+type stallWatch struct {
+	job        *job
+	runner     string
+	limit      time.Duration
+	pending    int
+	cancelSend context.CancelFunc
+	began      time.Time
+	mu         sync.Mutex
+	timer      clockwork.Timer
 }
 
-func (s *silence) check() {
+func (s *stallWatch) check() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.timer == nil {
 		return
 	}
 	clock := s.job.d.clock
-	heard := s.job.d.loads.LastHeard(s.runner)
-	if heard.Before(s.began) {
-		heard = s.began
+	lastSign := s.job.d.loads.LastHeard(s.runner)
+	if lastSign.Before(s.began) {
+		lastSign = s.began
 	}
-	if quiet := clock.Since(heard); quiet < s.limit {
-		s.timer = clock.AfterFunc(s.limit-quiet, s.check)
+	if idle := clock.Since(lastSign); idle < s.limit {
+		s.timer = clock.AfterFunc(s.limit-idle, s.check)
 		return
 	}
-	if !s.job.mayMove(s.pending) {
-		// A slow answer is better than a cut one.
+	if !s.job.reserveResume(s.pending) {
+		// A slow answer is better than one that breaks off.
 		s.timer = clock.AfterFunc(s.limit/2, s.check)
 		return
 	}
 	s.job.log.Info(logs.RunnerMute, zap.String("runner", s.runner), zap.Duration("limit", s.limit))
-	s.drop()
+	s.cancelSend()
 }
 
-// mayMove says whether a stream can go on elsewhere now, and keeps a repeat of the
-// budget for it. It is called while the job waits for its runner, which the watch's
-// lock sees to.
-func (j *job) mayMove(pending int) bool {
+// reserveResume reports whether the stream can be resumed elsewhere now, and takes a retry from
+// the budget for it. It reads and writes the job without a lock of its own: the job waits for
+// its runner meanwhile, which the lock of the stallWatch ensures.
+func (j *job) reserveResume(pending int) bool {
 	if !j.attemptsLeft(pending) {
 		return false
 	}
-	if _, candidates := j.candidates(); policy.Choose(candidates, j.ask()) < 0 {
+	if _, candidates := j.candidates(); policy.Choose(candidates, j.requirements()) < 0 {
 		return false
 	}
-	j.kept = j.d.budget.Repeat(j.service)
-	return j.kept
+	j.retryReserved = j.d.budget.TakeRetry(j.service)
+	return j.retryReserved
 }
 
-func (s *silence) stop() {
+func (s *stallWatch) stop() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.timer != nil {
--- a/coordination/dispatch/stream.go
+++ b/coordination/dispatch/stream.go
@@ -14,81 +14,81 @@
 	"primroseward/io/logs"
 )
 
-// whole is an answer in memory.
-type whole struct{ *bytes.Reader }
+// bufferedBody is the body of an answer held in memory.
+type bufferedBody struct{ *bytes.Reader }
 
-func newWhole(data []byte) io.ReadCloser { return whole{bytes.NewReader(data)} }
+func newBufferedBody(data []byte) io.ReadCloser { return bufferedBody{bytes.NewReader(data)} }
 
-func (whole) Close() error { return nil }
+func (bufferedBody) Close() error { return nil }
 
-// stream is a series of events. When its runner breaks off it goes on at
-// another one, if its route allows that.
+// stream is a stream of events. If its runner breaks off, it is resumed at another one
+// if the route allows that.
 type stream struct {
-	ctx     context.Context
-	j       *job
-	runner  *core.Runner
-	body    io.ReadCloser
-	in      *eventReader
-	ready   []byte
-	ended   error
-	firstAt time.Time
-	lastAt  time.Time
-	maxGap  time.Duration
-	count   int
-	proven  bool // the guard knows that this runner has worked on it for long
+	ctx      context.Context
+	j        *job
+	runner   *core.Runner
+	body     io.ReadCloser
+	in       *eventReader
+	ready    []byte
+	err      error
+	firstAt  time.Time
+	lastAt   time.Time
+	maxGap   time.Duration
+	reads    int
+	harmless bool // the guard has been informed that this runner has worked on it for harmlessAfter
 }
 
-// arrived keeps how long the pauses between events were.
-func (s *stream) arrived() {
+// recordEvent records the arrival of events and the longest pause between them.
+func (s *stream) recordEvent() {
 	now := s.j.d.clock.Now()
-	if s.count == 0 {
+	if s.reads == 0 {
 		s.firstAt = now
 	} else {
 		s.maxGap = max(s.maxGap, now.Sub(s.lastAt))
 	}
 	s.lastAt = now
-	s.count++
+	s.reads++
 	s.j.stage = stageEvents
 	s.j.d.loads.Note(s.runner.ID)
 }
 
-// stream waits for the first event, so that a runner that breaks off before it
-// can still be answered for by another, or by a refusal.
+// stream waits for the first event. If the runner breaks off before it, the request can
+// still be retried at another runner or be refused.
 func (j *job) stream(ctx context.Context, r *core.Runner, reply *core.Reply) (*core.Reply, error) {
-	s := &stream{ctx: ctx, j: j, runner: r, body: reply.Body, in: &eventReader{in: reply.Body, last: j.last}}
-	watch := j.watchSilence(r, max(stallLeast, stallTargets*j.route.Target), 0)
+	s := &stream{ctx: ctx, j: j, runner: r, body: reply.Body, in: &eventReader{in: reply.Body, lastID: j.lastEvent}}
+	watch := j.watchForStall(r, max(minStall, stallTargets*j.route.Target), 0)
 	first, err := s.in.next()
 	watch.stop()
 	if err != nil && err != io.EOF {
 		_ = reply.Body.Close()
-		return nil, j.afterError(ctx, r, eris.Wrap(err, "before the first event"))
+		return nil, j.handleError(ctx, r, eris.Wrap(err, "before the first event"))
 	}
-	s.ready, s.ended = first, err
-	j.began()
+	s.ready, s.err = first, err
+	j.answerBegan()
 	if j.engine() {
-		j.d.pace.Learn(j.service, j.q.Input, j.d.clock.Since(j.sentAt))
+		j.d.pacer.ObserveFirstEvent(j.service, j.q.Input, j.d.clock.Since(j.sentAt))
 	}
 	j.d.loads.Answered(r.ID)
-	s.arrived()
+	s.recordEvent()
 	reply.Body = s
 	return reply, nil
 }
 
-// Read returns events as they come. Its error is io.EOF only at the stream's
-// own end.
+// Read returns events as they arrive. It returns io.EOF only at the stream's proper
+// end.
 func (s *stream) Read(p []byte) (int, error) {
 	for len(s.ready) == 0 {
-		if s.ended != nil {
-			return 0, s.ended
+		if s.err != nil {
+			return 0, s.err
 		}
-		s.ready, s.ended = s.next()
-		if s.ended == io.EOF {
+		s.ready, s.err = s.next()
+		if s.err == io.EOF {
 			s.j.d.loads.Worked(s.runner.ID)
 			s.j.d.guard.Worked(s.j.q.Digest)
-			s.j.d.pace.Ended(s.j.service, s.lastAt.Sub(s.firstAt))
+			s.j.d.pacer.ObserveStream(s.j.service, s.lastAt.Sub(s.firstAt))
 		}
-		if s.ended != nil && s.ended != io.EOF {
-			s.ended = s.resume(s.ended)
+		if s.err != nil && s.err != io.EOF {
+			s.err = s.resume(s.err)
 		}
 	}
 	n := copy(p, s.ready)
@@ -98,64 +98,65 @@
 
 // next waits for the next events.
 func (s *stream) next() ([]byte, error) {
-	watch := s.j.watchSilence(s.runner, max(stallLeast, stallGaps*s.j.route.MaxGap), 0)
+	watch := s.j.watchForStall(s.runner, max(minStall, stallGaps*s.j.route.MaxGap), 0)
 	defer watch.stop()
 	ready, err := s.in.next()
 	if err == nil || err == io.EOF {
-		s.arrived()
+		s.recordEvent()
 	}
 	if err == nil {
-		s.prove()
-		s.j.began()
+		s.reportHarmless()
+		s.j.answerBegan()
 	}
 	return ready, err
 }
 
-// prove tells the guard once that the runner has worked on the stream for long.
-func (s *stream) prove() {
-	if s.proven || !s.j.proven() {
+// reportHarmless informs the guard, once per runner, that the request is harmless there.
+func (s *stream) reportHarmless() {
+	if s.harmless || !s.j.harmless() {
 		return
 	}
-	s.proven = true
+	s.harmless = true
 	s.j.d.guard.Worked(s.j.q.Digest)
 }
 
-// resume goes on at another runner after the last event passed on. The runner
-// before is let go of first: two must not work on one request. As long as the caller
-// waits for the next event, room may come free, or a model be loaded.
+// resume continues the stream at another runner after the last event passed on. It first
+// closes the connection to the previous runner, so that no two runners work on one request.
+// While the caller waits for the next event, runners may get free slots, or the model may be
+// loaded.
 func (s *stream) resume(cause error) error {
 	_ = s.body.Close()
 	j := s.j
-	j.last = s.in.last
-	if err := j.afterError(s.ctx, s.runner, eris.Wrap(cause, "stream")); err != nil {
+	j.lastEvent = s.in.lastID
+	if err := j.handleError(s.ctx, s.runner, eris.Wrap(cause, "stream")); err != nil {
 		return err
 	}
-	j.resumed, j.asked = true, false
+	j.resumed, j.placementRequested = true, false
 	until, rejects := s.lastAt.Add(j.eventWait()), 0
 	for {
-		r, err := s.nextUntil(until, resumeEvery<<rejects)
+		r, err := s.chooseUntil(until, resumeInterval<<rejects)
 		if err != nil {
 			return err
 		}
 		reply, err := j.send(s.ctx, r)
-		if err == nil && reply.Status == http.StatusOK && check(reply) == nil {
-			j.log.Info(logs.StreamResumed, zap.String("runner", r.ID), zap.String("after", j.last))
-			s.runner, s.body, s.in = r, reply.Body, &eventReader{in: reply.Body, last: j.last}
-			s.proven = false
+		if err == nil && reply.Status == http.StatusOK && checkStamp(reply) == nil {
+			j.log.Info(logs.StreamResumed, zap.String("runner", r.ID), zap.String("after", j.lastEvent))
+			s.runner, s.body, s.in = r, reply.Body, &eventReader{in: reply.Body, lastID: j.lastEvent}
+			s.harmless = false
 			return nil
 		}
 		switch {
 		case err != nil:
-			err = j.afterError(s.ctx, r, err)
+			err = j.handleError(s.ctx, r, err)
 		case reply.Info.NotRun:
 			_ = reply.Body.Close()
 			if rejects++; rejects < resumeRejections {
-				j.rejects = 0
+				j.rejections = 0
 			}
-			err = j.afterRejection(r, reply)
+			err = j.handleRejection(r, reply)
 		default:
 			_ = reply.Body.Close()
-			err = j.afterError(s.ctx, r, eris.Wrapf(core.ErrLost, "status %d", reply.Status))
+			err = j.handleError(s.ctx, r, eris.Wrapf(core.ErrLost, "status %d", reply.Status))
 		}
 		if err != nil {
 			return err
@@ -163,9 +164,9 @@
 	}
 }
 
-// nextUntil is next for a stream whose caller waits for an event until a time. It looks
-// again after each pause.
-func (s *stream) nextUntil(until time.Time, pause time.Duration) (*core.Runner, error) {
+// chooseUntil is like nextRunner for a stream whose caller waits for an event until a given
+// time. It tries again after each pause.
+func (s *stream) chooseUntil(until time.Time, pause time.Duration) (*core.Runner, error) {
 	j := s.j
 	for {
 		r, err := j.choose(s.ctx)
@@ -176,22 +177,22 @@
 			return nil, j.refuseFor(err)
 		}
 		core.Sleep(s.ctx, j.d.clock, pause)
-		// Runners that had no room may have some now.
+		// Runners without capacity before may have some now.
 		j.tried = map[string]bool{s.runner.ID: true}
 	}
 }
 
-// eventWait is how long the caller waits for the next event of a stream.
+// eventWait returns how long the caller waits for the next event of a stream.
 func (j *job) eventWait() time.Duration {
-	return max(eventWaitLeast, eventWaitTargets*j.route.Target, eventWaitGaps*j.route.MaxGap) - eventWaitMargin
+	return max(minEventWait, eventWaitTargets*j.route.Target, eventWaitGaps*j.route.MaxGap) - eventWaitMargin
 }
 
-// Close ends the stream; a runner that still works on it stops.
+// Close ends the stream. A runner still working on it stops.
 func (s *stream) Close() error {
-	if s.ended != io.EOF && s.ctx.Err() == nil {
-		s.j.d.metrics.cut()
+	if s.err != io.EOF && s.ctx.Err() == nil {
+		s.j.d.metrics.streamCut()
 	}
 	s.j.log.Info(logs.StreamEnded, zap.String("runner", s.runner.ID), zap.Duration("first", s.firstAt.Sub(s.j.q.Arrived)),
-		zap.Duration("target", s.j.route.Target), zap.Duration("gap", s.maxGap), zap.Duration("maxgap", s.j.route.MaxGap), zap.Int("reads", s.count), zap.Bool("whole", s.ended == io.EOF), zap.Duration("took", s.lastAt.Sub(s.j.q.Arrived)))
+		zap.Duration("target", s.j.route.Target), zap.Duration("gap", s.maxGap), zap.Duration("maxgap", s.j.route.MaxGap), zap.Int("reads", s.reads), zap.Bool("whole", s.err == io.EOF), zap.Duration("took", s.lastAt.Sub(s.j.q.Arrived)))
 	return s.body.Close()
 }
--- a/coordination/dispatch/stream_test.go
+++ b/coordination/dispatch/stream_test.go
@@ -15,49 +15,47 @@
 	"primroseward/core"
 )
 
-// A stream that is resumed at a runner which then pauses has each event once: a caller
-// saw the third event twice when the test's own runner, asked to go on after the third,
-// went on after the second.
+// A stream that is resumed at a runner which then pauses has each event once. The third event
+// came twice when the test's own runner, resumed after the third event, went on after the
+// second.
 func TestStreamResumedAtRunnerThatPauses(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f := &fleet{next: script(deserted, fails, breaksOff, pauses)}
+		f := &fleet{nextAct: script(noListener, fails, breaksOff, pauses)}
 		_, body, err := call(newDispatcher(f, 4), route(core.KindStream, true, 3))
 		assert.NilError(t, err)
-		assert.Equal(t, body, pieces("", events))
+		assert.Equal(t, body, eventText("", eventCount))
 		assert.Equal(t, f.sends[len(f.sends)-1].LastEvent, "3")
 	})
 }
 
-// A caller sees a sentence twice or with words missing. A runner breaks off in
-// the middle of an event; the next one goes on after the last whole event.
+// A caller must not receive parts of a stream twice or miss any. If a runner breaks off in
+// the middle of an event, the next one continues after the last complete event.
 func TestStreamGoesOnAfterTheLastWholeEvent(t *testing.T) {
-	f := &fleet{next: script(breaksOff)}
+	f := &fleet{nextAct: script(breaksOff)}
 	_, body, err := call(newDispatcher(f, 3), route(core.KindStream, true, 2))
 	assert.NilError(t, err)
-	assert.Equal(t, body, pieces("", events))
+	assert.Equal(t, body, eventText("", eventCount))
 	assert.Equal(t, f.sends[1].LastEvent, "3")
 	assert.Assert(t, f.runs[0] != f.runs[1])
 }
 
-// A caller sees a sentence stop and gives up. The runner has lost its power: its
-// connection neither ends nor breaks. The stream goes on elsewhere within the
-// two seconds that callers wait.
+// A runner that loses its power neither ends nor resets its connections. Its streams must be
+// resumed elsewhere within the two seconds after which callers give up.
 func TestSilentStreamGoesOn(t *testing.T) {
-	for _, first := range []act{freezes, hangs} {
+	for _, first := range []act{stalls, hangs} {
 		synctest.Test(t, func(t *testing.T) {
-			f := &fleet{next: script(first)}
+			f := &fleet{nextAct: script(first)}
 			began := time.Now()
 			_, body, err := call(newDispatcher(f, 3), route(core.KindStream, true, 2))
 			assert.NilError(t, err)
-			assert.Equal(t, body, pieces("", events))
+			assert.Equal(t, body, eventText("", eventCount))
 			assert.Assert(t, time.Since(began) < 1500*time.Millisecond, "%v", time.Since(began))
 		})
 	}
 }
 
-// A draft is cut and retyped, though its runner is only slow: its stream was silent
-// for long, was let go of, and could not go on anywhere else. It is kept where there
-// is no other runner, no room, or no repeat left in the budget.
+// A stream whose runner is only slow must not be given up if it can't be resumed: if there
+// is no other runner, no capacity, or no retry left in the budget.
 func TestSilentStreamIsKeptWhereItCannotGoOn(t *testing.T) {
 	cases := []struct {
 		name    string
@@ -69,17 +67,17 @@
 	}{
 		{"no other runner", 1, route(core.KindStream, true, 2), 100, false, 1},
 		{"no attempt left", 3, route(core.KindStream, true, 1), 100, false, 1},
-		{"no repeat left", 3, route(core.KindStream, true, 2), 0, false, 1},
-		{"no room elsewhere", 2, route(core.KindStream, true, 2), 100, true, 1},
-		{"elsewhere", 2, route(core.KindStream, true, 2), 100, false, 2},
+		{"no retry left", 3, route(core.KindStream, true, 2), 0, false, 1},
+		{"no capacity elsewhere", 2, route(core.KindStream, true, 2), 100, true, 1},
+		{"resumed elsewhere", 2, route(core.KindStream, true, 2), 100, false, 2},
 	}
 	for _, one := range cases {
 		synctest.Test(t, func(t *testing.T) {
-			f := &fleet{next: script(pauses)}
+			f := &fleet{nextAct: script(pauses)}
 			d := newDispatcher(f, one.runners)
 			d.budget = policy.NewBudget(d.clock, 10*time.Second, func() float64 { return 0 }, func() float64 { return one.slack })
-			if next := f.next; one.full {
-				f.next = func(id string) act { // others' requests fill both meanwhile
+			if next := f.nextAct; one.full {
+				f.nextAct = func(id string) act { // other requests fill both runners meanwhile
 					for range plainFull {
 						d.loads.Begin("r0")
 						d.loads.Begin("r1")
@@ -89,27 +87,26 @@
 			}
 			_, body, err := call(d, one.route)
 			assert.NilError(t, err, one.name)
-			assert.Equal(t, body, pieces("", events), one.name)
+			assert.Equal(t, body, eventText("", eventCount), one.name)
 			assert.Equal(t, len(f.runs), one.runs, one.name)
 		})
 	}
 }
 
-// A draft is cut in its middle, though a runner has room for the rest of it before its
-// caller would give up: the runners were full, rejected it, or had to load its model as
-// its own runner broke off or was given up as silent.
+// A broken or stalled stream must be resumed if a runner gets capacity before its caller gives
+// up, even if at first the runners are full, reject it, or have to load its model.
 func TestBrokenStreamWaitsForARunner(t *testing.T) {
 	const soon = 500 * time.Millisecond
 	for _, tt := range []struct {
 		name  string
 		first act
-		then  act // of the other runner, until soon
+		then  act // of the other runner, until soon has passed
 		free  time.Duration
 		whole bool
 	}{
 		{"broken off, the other is full", breaksOff, serves, soon, true},
 		{"broken off, the other rejects", breaksOff, rejects, 0, true},
-		{"silent, the other rejects", freezes, rejects, 0, true},
+		{"stalled, the other rejects", stalls, rejects, 0, true},
 		{"the other is full for longer than callers wait", breaksOff, serves, time.Minute, false},
 	} {
 		synctest.Test(t, func(t *testing.T) {
@@ -118,7 +115,7 @@
 			first := true
 			f := &fleet{}
 			d := newDispatcher(f, 2)
-			f.next = func(id string) act {
+			f.nextAct = func(id string) act {
 				if !first {
 					if tt.then == rejects && time.Since(broken) > soon {
 						return serves
@@ -126,8 +123,8 @@
 					return tt.then
 				}
 				first, broken = false, time.Now()
-				if tt.first == freezes {
-					broken = broken.Add(stallLeast)
+				if tt.first == stalls {
+					broken = broken.Add(minStall)
 				}
 				if tt.free > 0 {
 					other := map[string]string{"r0": "r1", "r1": "r0"}[id]
@@ -140,20 +137,20 @@
 			_, body, err := call(d, route(core.KindStream, true, 3))
 			assert.Equal(t, err == nil, tt.whole, "%s: %v", tt.name, err)
 			if tt.whole {
-				assert.Equal(t, body, pieces("", events), tt.name)
+				assert.Equal(t, body, eventText("", eventCount), tt.name)
 			}
-			assert.Assert(t, time.Since(began) < eventWaitLeast, "%s: %v", tt.name, time.Since(began))
+			assert.Assert(t, time.Since(began) < minEventWait, "%s: %v", tt.name, time.Since(began))
 			assert.Assert(t, len(f.sends) <= 2+resumeRejections, "%s: %d sends", tt.name, len(f.sends))
 		})
 	}
 }
 
-// A stream that cannot go on must not look whole.
-func TestBrokenStreamDoesNotEndWell(t *testing.T) {
-	f := &fleet{next: script(breaksOff)}
+// A stream that cannot be resumed must not look complete.
+func TestBrokenStreamLooksIncomplete(t *testing.T) {
+	f := &fleet{nextAct: script(breaksOff)}
 	status, body, err := call(newDispatcher(f, 3), route(core.KindStream, false, 2))
 	assert.Equal(t, status, http.StatusOK)
-	assert.Equal(t, body, pieces("", 3))
+	assert.Equal(t, body, eventText("", 3))
 	assert.Assert(t, err != nil)
 }
 
@@ -175,14 +172,14 @@
 	}
 }
 
-// slow gives a byte at a time.
-type slow struct{ io.Reader }
+// oneByteReader returns one byte per read.
+type oneByteReader struct{ io.Reader }
 
-func (s slow) Read(p []byte) (int, error) { return s.Reader.Read(p[:min(1, len(p))]) }
+func (s oneByteReader) Read(p []byte) (int, error) { return s.Reader.Read(p[:min(1, len(p))]) }
 
-func TestEventsInAnyPieces(t *testing.T) {
-	text := pieces("", events)
-	in := &eventReader{in: slow{strings.NewReader(text)}}
+func TestEventsSplitAcrossReads(t *testing.T) {
+	text := eventText("", eventCount)
+	in := &eventReader{in: oneByteReader{strings.NewReader(text)}}
 	var got []byte
 	for {
 		part, err := in.next()
@@ -193,5 +190,5 @@
 		assert.NilError(t, err)
 	}
 	assert.Equal(t, string(got), text)
-	assert.Equal(t, in.last, fmt.Sprint(events))
+	assert.Equal(t, in.lastID, fmt.Sprint(eventCount))
 }
--- a/coordination/dispatch/turn_test.go
+++ b/coordination/dispatch/turn_test.go
@@ -11,32 +11,31 @@
 	"primroseward/state/catalog"
 )
 
-// inLine is a Dispatcher of an engine service with n runners, for each of which a prompt
-// waits its turn.
-func inLine(f *fleet, n int) *Dispatcher {
+// newPacedDispatcher returns a Dispatcher of an engine service with n runners, at each of
+// which a prompt is delayed by pacing.
+func newPacedDispatcher(f *fleet, n int) *Dispatcher {
 	d := newDispatcher(f, n)
 	config := &core.Config{Version: 2, Services: map[string]*core.Service{"s": {Name: "s", Engine: &core.Engine{}}}}
 	config.Index()
 	d.catalog.SetConfig(config)
 	for range 100 {
-		d.pace.Learn("s", 1000, time.Second)
+		d.pacer.ObserveFirstEvent("s", 1000, time.Second)
 	}
 	for id := range d.catalog.All() {
-		d.pace.Take(d.clock.Now(), "s", id, 1000, 1, time.Second)
+		d.pacer.Reserve(d.clock.Now(), "s", id, 1000, 1, time.Second)
 	}
 	return d
 }
 
-// A runner that leaves gets a request two seconds later: the request had been given to
-// it before it began to leave, and was waiting for its turn to be sent. What has changed
-// in that time counts; the request waits once only.
+// A request that is delayed by pacing must not be sent to a runner that has begun to leave in
+// the meantime. Other changes in that time count too, and a request is delayed only once.
 func TestRunnerLeavesWhileARequestWaits(t *testing.T) {
 	cases := []struct {
 		name   string
 		change func(c *catalog.Catalog, e *catalog.Entry)
-		same   bool // the runner chosen gets it
+		same   bool // the runner chosen first gets it
 	}{
-		{"nothing", func(*catalog.Catalog, *catalog.Entry) {}, true},
+		{"no change", func(*catalog.Catalog, *catalog.Entry) {}, true},
 		{"begins to leave", func(c *catalog.Catalog, e *catalog.Entry) {
 			r := e.Runner
 			r.Draining = true
@@ -46,12 +45,12 @@
 			c.Lapse(e.ID, time.Now())
 			c.Sweep(time.Now())
 		}, false},
-		{"gives its model up", func(c *catalog.Catalog, e *catalog.Entry) { c.Learn(e.ID, "m", "", false) }, false},
+		{"unloads its model", func(c *catalog.Catalog, e *catalog.Entry) { c.Learn(e.ID, "m", "", false) }, false},
 	}
 	for _, one := range cases {
 		synctest.Test(t, func(t *testing.T) {
-			f := &fleet{next: script(serves)}
-			d := inLine(f, 1)
+			f := &fleet{nextAct: script(serves)}
+			d := newPacedDispatcher(f, 1)
 			chosen := d.catalog.Runner("r0")
 			go func() {
 				time.Sleep(5 * time.Millisecond)
@@ -61,18 +60,18 @@
 			began := time.Now()
 			_, body, err := callWith(d, route(core.KindStream, false, 1), 1000)
 			assert.NilError(t, err, one.name)
-			assert.Equal(t, body, pieces("", events), one.name)
+			assert.Equal(t, body, eventText("", eventCount), one.name)
 			assert.DeepEqual(t, f.runs, []string{map[bool]string{true: "r0", false: "r1"}[one.same]})
-			assert.Equal(t, time.Since(began), 25*time.Millisecond, "a quarter of the target")
+			assert.Equal(t, time.Since(began), 25*time.Millisecond, "delayed once, by a quarter of the target")
 		})
 	}
 }
 
-// Callers that have gone, or whose time is up, are not kept in line.
+// Requests whose caller has gone or whose deadline has passed are no longer delayed.
 func TestCallerGoesWhileARequestWaits(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f := &fleet{next: script(serves)}
-		d := inLine(f, 1)
+		f := &fleet{nextAct: script(serves)}
+		d := newPacedDispatcher(f, 1)
 		r := route(core.KindStream, false, 1)
 		r.Timeout = 10 * time.Millisecond
 		status, _, err := callWith(d, r, 1000)
--- a/coordination/dispatch/workspace.go
+++ b/coordination/dispatch/workspace.go
@@ -15,8 +15,9 @@
 	codeKey       = "unknown_key"
 )
 
-// admit takes the request's units of its workspace's allowance, or refuses it.
-func (j *job) admit() error {
+// takeAllowance takes the request's units from its workspace's allowance, or refuses the
+// request.
+func (j *job) takeAllowance() error {
 	w := j.q.Workspace
 	if w == nil {
 		return nil
@@ -31,22 +32,22 @@
 	return core.NotRun(http.StatusTooManyRequests, codeAllowance, "the workspace's allowance is used up", a.Retry)
 }
 
-// charge counts a run beyond the first.
-func (j *job) charge() {
+// chargeAllowance charges a run after the first one.
+func (j *job) chargeAllowance() {
 	if j.q.Workspace != nil && j.runs > 0 {
 		j.d.allowance.Charge(j.q.Workspace, j.units)
 	}
 }
 
-// giveBack gives back what was taken for a request that has not run.
-func (j *job) giveBack() {
+// refundAllowance refunds what was taken for a request that has not run.
+func (j *job) refundAllowance() {
 	if j.q.Workspace != nil && j.runs == 0 {
 		j.d.allowance.Give(j.q.Workspace, j.units)
 	}
 }
 
-// authorize refuses a request whose key has been taken away since it came. The key may
-// have come to be another workspace's.
+// authorize refuses a request whose key has been removed since it arrived. If the key now
+// belongs to another workspace, the request counts for that one.
 func (j *job) authorize() error {
 	if j.q.Workspace == nil {
 		return nil
@@ -64,5 +65,5 @@
 	return core.NotRun(http.StatusUnauthorized, codeKey, message, 0)
 }
 
-// rank is the request's urgency, 0 the most urgent.
+// rank returns the request's urgency; 0 is the most urgent.
 func (j *job) rank() int { return j.d.catalog.Config().Rank(j.q.Workspace, j.route) }
--- a/coordination/dispatch/workspace_test.go
+++ b/coordination/dispatch/workspace_test.go
@@ -12,30 +12,31 @@
 	"primroseward/core"
 )
 
-// allowances lets a number of requests in and keeps account.
-type allowances struct {
-	lets    int
-	taken   float64
-	charged float64
-	given   float64
+// fakeAllowance admits a number of requests and records the units.
+type fakeAllowance struct {
+	admits   int
+	taken    float64
+	charged  float64
+	refunded float64
 }
 
-func (a *allowances) Take(_ *core.Workspace, units float64) core.Admission {
-	if a.lets--; a.lets < 0 {
+func (a *fakeAllowance) Take(_ *core.Workspace, units float64) core.Admission {
+	if a.admits--; a.admits < 0 {
 		return core.Admission{Retry: 2 * time.Second}
 	}
 	a.taken += units
 	return core.Admission{OK: true}
 }
 
-func (a *allowances) Charge(_ *core.Workspace, units float64) { a.charged += units }
+func (a *fakeAllowance) Charge(_ *core.Workspace, units float64) { a.charged += units }
 
-func (a *allowances) Give(_ *core.Workspace, units float64) { a.given += units }
+func (a *fakeAllowance) Give(_ *core.Workspace, units float64) { a.refunded += units }
 
 var callerKey = core.KeyIDOf("k")
 
-// keyed is a configuration in which a workspace of a name holds the caller's key.
-func keyed(version uint64, name string) *core.Config {
+// configWithKey returns a configuration in which the workspace of the given name has the
+// caller's key.
+func configWithKey(version uint64, name string) *core.Config {
 	c := &core.Config{Version: version, Services: map[string]*core.Service{"s": {Name: "s"}}, Workspaces: []*core.Workspace{}}
 	if name != "" {
 		c.Workspaces = append(c.Workspaces, &core.Workspace{Name: name, Keys: []core.KeyID{callerKey}, Unit: core.UnitTokens, Rate: 1})
@@ -56,26 +57,26 @@
 	return nil, err
 }
 
-// What a request takes of its workspace's allowance is lost where it has not run, or a
-// request that runs twice takes as much as one that runs once.
+// Units of a request that has not run must be returned to its workspace's allowance, and each
+// run beyond the first must be charged.
 func TestWhatRequestsTakeOfAllowances(t *testing.T) {
 	safe := route(core.KindSafe, false, 3)
 	for _, tt := range []struct {
-		name                  string
-		lets                  int
-		acts                  []act
-		status                int // 0: served
-		taken, charged, given float64
+		name                     string
+		lets                     int
+		acts                     []act
+		status                   int // 0: served
+		taken, charged, refunded float64
 	}{
 		{"served", 1, nil, 0, 10, 0, 0},
-		{"beyond it", 0, nil, http.StatusTooManyRequests, 0, 0, 0},
-		{"no runner has room", 1, []act{rejects, rejects, rejects}, http.StatusServiceUnavailable, 10, 0, 10},
+		{"allowance used up", 0, nil, http.StatusTooManyRequests, 0, 0, 0},
+		{"no runner has capacity", 1, []act{rejects, rejects, rejects}, http.StatusServiceUnavailable, 10, 0, 10},
 		{"served at the second runner", 1, []act{rejects}, 0, 10, 0, 0},
-		{"run by two runners", 1, []act{loses}, 0, 10, 10, 0},
-		{"run by three", 1, []act{fails, loses}, 0, 10, 20, 0},
+		{"run by two runners", 1, []act{losesAnswer}, 0, 10, 10, 0},
+		{"run by three", 1, []act{fails, losesAnswer}, 0, 10, 20, 0},
 	} {
-		d, a := newDispatcher(&fleet{next: script(tt.acts...)}, 3), &allowances{lets: tt.lets}
-		d.catalog.SetConfig(keyed(2, "w"))
+		d, a := newDispatcher(&fleet{nextAct: script(tt.acts...)}, 3), &fakeAllowance{admits: tt.lets}
+		d.catalog.SetConfig(configWithKey(2, "w"))
 		WithAllowance(a)(d)
 		e, err := callKeyed(d, safe)
 		assert.NilError(t, err, tt.name)
@@ -87,32 +88,32 @@
 		}
 		assert.Equal(t, a.taken, tt.taken, tt.name)
 		assert.Equal(t, a.charged, tt.charged, tt.name)
-		assert.Equal(t, a.given, tt.given, tt.name)
+		assert.Equal(t, a.refunded, tt.refunded, tt.name)
 	}
 }
 
-// A request whose key has been taken away while it was on its way is sent to a runner, or
-// one whose key has come to another workspace counts as the former's.
+// A request whose key is removed while it is in progress must not be sent to another runner,
+// and one whose key now belongs to another workspace must count for that one.
 func TestKeysTakenAwayOnTheWay(t *testing.T) {
 	stream := route(core.KindStream, true, 3)
 	for _, tt := range []struct {
 		name    string
 		acts    []act
-		holder  string // of the key, once the first runner has had the request
+		holder  string // workspace that has the key once the first runner has got the request
 		status  int
 		outcome core.Outcome
 		runs    int
 	}{
-		{"it was not run yet", []act{rejects}, "", http.StatusUnauthorized, core.OutcomeNotRun, 0},
-		{"it may have run", []act{loses}, "", http.StatusBadGateway, core.OutcomeMayHaveRun, 1},
-		{"the key is another workspace's", []act{rejects}, "other", 0, "", 1},
+		{"it has not run yet", []act{rejects}, "", http.StatusUnauthorized, core.OutcomeNotRun, 0},
+		{"it may have run", []act{losesAnswer}, "", http.StatusBadGateway, core.OutcomeMayHaveRun, 1},
+		{"the key belongs to another workspace", []act{rejects}, "other", 0, "", 1},
 	} {
 		f := &fleet{}
 		d := newDispatcher(f, 3)
-		d.catalog.SetConfig(keyed(2, "w"))
+		d.catalog.SetConfig(configWithKey(2, "w"))
 		next := script(tt.acts...)
-		f.next = func(runner string) act {
-			d.catalog.SetConfig(keyed(3, tt.holder))
+		f.nextAct = func(runner string) act {
+			d.catalog.SetConfig(configWithKey(3, tt.holder))
 			return next(runner)
 		}
 		e, err := callKeyed(d, stream)
--- a/coordination/policy/budget.go
+++ b/coordination/policy/budget.go
@@ -7,71 +7,70 @@
 	"primroseward/core"
 )
 
-// buckets divide a budget's window.
-const buckets = 10
+// windowIntervals is the number of intervals that a budget's window is divided into.
+const windowIntervals = 10
 
-// Budget bounds the requests sent a second time to a share of the first ones,
-// per service, in a sliding window. Without it a failing half of a service
-// doubles the load of the half that is left.
+// Budget limits retries to a share of the first sends, per service, in a sliding window.
+// Without it the failure of half of a service doubles the load on the other half.
 type Budget struct {
 	clock  core.Clock
 	window time.Duration
-	ratio  func() float64 // repeats allowed as a share of first sends
-	slack  func() float64 // repeats allowed beyond the share
+	ratio  func() float64 // retries allowed as a share of first sends
+	slack  func() float64 // retries allowed beyond the share
 
-	start    time.Time // turns are counted from here, by the monotonic clock
+	start    time.Time // intervals are counted from here, by the monotonic clock
 	mu       sync.Mutex
-	services map[string]*ring
+	services map[string]*sendCounts
 }
 
-type ring struct {
-	first  [buckets]int
-	repeat [buckets]int
-	epoch  [buckets]int64 // which turn of the window a bucket belongs to
+type sendCounts struct {
+	firstSends [windowIntervals]int
+	retries    [windowIntervals]int
+	interval   [windowIntervals]int64 // index of the interval that each element counts
 }
 
-// NewBudget makes a Budget of one daemon.
+// NewBudget returns the retry budget of one daemon.
 func NewBudget(clock core.Clock, window time.Duration, ratio, slack func() float64) *Budget {
-	return &Budget{clock: clock, window: window, ratio: ratio, slack: slack, start: clock.Now(), services: map[string]*ring{}}
+	return &Budget{clock: clock, window: window, ratio: ratio, slack: slack, start: clock.Now(), services: map[string]*sendCounts{}}
 }
 
-func (b *Budget) at(service string) (*ring, int) {
+func (b *Budget) current(service string) (*sendCounts, int) {
 	r, ok := b.services[service]
 	if !ok {
-		r = &ring{}
+		r = &sendCounts{}
 		b.services[service] = r
 	}
-	turn := int64(b.clock.Since(b.start) / (b.window / buckets))
-	i := int(turn % buckets)
-	if r.epoch[i] != turn {
-		r.epoch[i], r.first[i], r.repeat[i] = turn, 0, 0
+	interval := int64(b.clock.Since(b.start) / (b.window / windowIntervals))
+	i := int(interval % windowIntervals)
+	if r.interval[i] != interval {
+		r.interval[i], r.firstSends[i], r.retries[i] = interval, 0, 0
 	}
 	return r, i
 }
 
-// First counts a request's first send.
-func (b *Budget) First(service string) {
+// CountFirst counts the first send of a request.
+func (b *Budget) CountFirst(service string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	r, i := b.at(service)
-	r.first[i]++
+	r, i := b.current(service)
+	r.firstSends[i]++
 }
 
-// Repeat takes a repeat from the budget; false when there is none left.
-func (b *Budget) Repeat(service string) bool {
+// TakeRetry takes one retry from the budget. It returns false if none is left.
+func (b *Budget) TakeRetry(service string) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	r, now := b.at(service)
-	first, repeat := 0, 0
-	for i := range r.epoch {
-		if r.epoch[now]-r.epoch[i] < buckets {
-			first += r.first[i]
-			repeat += r.repeat[i]
+	r, now := b.current(service)
+	firstSends, retries := 0, 0
+	for i := range r.interval {
+		if r.interval[now]-r.interval[i] < windowIntervals {
+			firstSends += r.firstSends[i]
+			retries += r.retries[i]
 		}
 	}
-	if float64(repeat+1) > b.ratio()*float64(first)+b.slack() {
+	if float64(retries+1) > b.ratio()*float64(firstSends)+b.slack() {
 		return false
 	}
-	r.repeat[now]++
+	r.retries[now]++
 	return true
 }
--- a/coordination/policy/choose.go
+++ b/coordination/policy/choose.go
@@ -1,5 +1,6 @@
-// Package policy holds the decisions on requests: which runner, whether to
-// refuse, whether to try again. It has no network and no clock of its own.
+// Package policy decides which runner serves a request, whether to refuse it and
+// whether to retry it, and which models to load on which runner. It does no network
+// I/O and takes the current time from its caller or an injected clock.
 package policy
 
 import (
@@ -10,108 +11,111 @@
 )
 
 const (
-	// otherPlace is what a runner in another place costs, in parts of a
-	// runner's slots: the traffic between places is paid for, and is slower by
-	// a few milliseconds only. A quarter of the slots keeps requests in their
-	// place until it is clearly the busier one.
-	otherPlace = 0.25
-	// waiting is what a second's wait before the send costs, in parts of a runner's
-	// slots: a tenth of one costs as much as another place.
-	waiting = 2.5
-	// leaving is what a runner costs that goes before the request is likely to
-	// end.
-	leaving = 2
-	// plainOver is how many requests a plain service's runner may have, in parts
-	// of its slots, before more are refused: they last some 10 ms.
-	plainOver = 4
-	// maxQueue bounds the line for an engine's slots, in parts of them: its
-	// requests last seconds, and beyond half of them callers leave before their
-	// turn.
+	// remoteCost is added for a runner in another data centre, as a fraction of the
+	// runner's slots. Traffic between data centres is paid for, and slower by only a
+	// few milliseconds. A quarter of the slots keeps requests in their own data
+	// centre until it is clearly the busier one.
+	remoteCost = 0.25
+	// waitCostPerSecond is added per second of delay before the send, as a fraction
+	// of the runner's slots: a delay of 0.1 s costs as much as another data centre.
+	waitCostPerSecond = 2.5
+	// leavingCost is added for a runner that is announced to leave before the request
+	// is likely to end.
+	leavingCost = 2
+	// maxPlainLoad is how many requests a runner of a plain service may have in
+	// progress, as a multiple of its slots, before further ones are refused. These
+	// requests last some 10 ms.
+	maxPlainLoad = 4
+	// maxQueue bounds the queue for an engine's slots, as a fraction of the slots.
+	// Requests to engines last seconds, and in a queue longer than half the slots
+	// callers give up before a slot is free.
 	maxQueue = 0.5
-	// queueShare is the part of a target that may be spent in line for a slot;
-	// the prompt is read in the rest.
-	queueShare = 0.75
+	// queueTargetShare is the part of a target latency that may be spent in the queue
+	// for a slot. The rest is needed to read the prompt.
+	queueTargetShare = 0.75
 )
 
-// Ask is what a request asks of its runner.
-type Ask struct {
+// Requirements is what a request needs of its runner.
+type Requirements struct {
 	Engine bool
-	// Queue is how many requests may be in line for a slot of the runner ahead of
-	// it, in parts of the slots.
-	Queue float64
+	// QueueLimit is how many requests may be queued for a slot of the runner ahead of
+	// this one, as a fraction of the slots.
+	QueueLimit float64
 }
 
-// Queue is the line that a request of a target can be in and still be in time, in parts
-// of a runner's slots, where streams take as long as length: a slot comes free for each
-// stream that ends. Filled beyond that, as all runners of a busy model are while more
-// is asked of it than its copies can do, each request that is served is late, and the
-// runners do no more for it: of requests that found a runner of 32 slots with 36 or more,
-// 94 in 100 had a late first event, of those that found 28, 11.
-func Queue(target, length time.Duration) float64 {
+// QueueLimit returns the longest queue, as a fraction of a runner's slots, in which a
+// request can still meet its target latency when streams last length on average: a slot
+// becomes free for each stream that ends. While the demand for a model exceeds the
+// capacity of its replicas, all its runners fill up. With longer queues each request
+// served there is late and the runners' throughput is no higher: of requests that found
+// a runner of 32 slots with 36 or more requests, 94 in 100 had a late first event; of
+// those that found 28, 11 in 100.
+func QueueLimit(target, length time.Duration) float64 {
 	if length <= 0 {
 		return maxQueue
 	}
-	return min(maxQueue, queueShare*target.Seconds()/length.Seconds())
+	return min(maxQueue, queueTargetShare*target.Seconds()/length.Seconds())
 }
 
-// UrgentQueue is the line for the most urgent requests of a service. They are taken in
-// at once also by a full runner, which puts off its least urgent request for each.
-func UrgentQueue() float64 { return maxQueue }
+// UrgentQueueLimit returns the queue limit for the most urgent requests of a service. A
+// full runner starts them at once too and preempts its least urgent request for each.
+func UrgentQueueLimit() float64 { return maxQueue }
 
-// Candidate is a runner that may serve a request, as seen by one daemon.
+// Candidate is a runner that may serve a request, with the state known to this daemon.
 type Candidate struct {
-	ID        string
-	Slots     int
-	Requests  int // in progress there, from all daemons, as far as known
-	SamePlace bool
-	Leaving   bool
-	Penalty   float64 // for lately failed attempts, in parts of its slots
-	// Down: its process has ended, though its entry stands.
+	ID             string
+	Slots          int
+	Requests       int // in progress there from all daemons, as far as known
+	SameDataCentre bool
+	Leaving        bool
+	Penalty        float64 // for recent failed attempts, as a fraction of its slots
+	// Down is set if the runner's process has exited although its entry still exists.
 	Down bool
-	// Limited: it has named how much it takes, and is left to requests that no other runner
-	// can serve.
+	// Limited is set if the runner has announced a request limit. Such runners are reserved
+	// for requests that no other runner can serve.
 	Limited bool
-	// Wait is how long a prompt would wait for its turn to be sent there.
+	// Wait is how long a prompt would be delayed before it is sent to this runner.
 	Wait time.Duration
 }
 
-// cost is the expected delay at a runner, in parts of its slots.
+// cost returns the expected delay at a runner, as a fraction of its slots.
 func (c *Candidate) cost() float64 {
-	cost := float64(c.Requests)/float64(max(1, c.Slots)) + c.Penalty + waiting*c.Wait.Seconds()
-	if !c.SamePlace {
-		cost += otherPlace
+	cost := float64(c.Requests)/float64(max(1, c.Slots)) + c.Penalty + waitCostPerSecond*c.Wait.Seconds()
+	if !c.SameDataCentre {
+		cost += remoteCost
 	}
 	if c.Leaving {
-		cost += leaving
+		cost += leavingCost
 	}
 	return cost
 }
 
-// Full says whether a runner has no room for one request more.
-func (c *Candidate) Full(a Ask) bool {
-	over := float64(plainOver)
-	if a.Engine {
-		over = 1 + a.Queue
+// Full reports whether the runner has no capacity for one more request.
+func (c *Candidate) Full(req Requirements) bool {
+	maxLoad := float64(maxPlainLoad)
+	if req.Engine {
+		maxLoad = 1 + req.QueueLimit
 	}
-	return float64(c.Requests) >= over*float64(max(1, c.Slots))
+	return float64(c.Requests) >= maxLoad*float64(max(1, c.Slots))
 }
 
-// Choose returns the index of the best candidate that has room, or -1. Candidates that
-// are down are only chosen where there is no other, as they may have started again.
-// Equal ones are drawn, so that daemons that know the same do not all choose alike.
-func Choose(candidates []Candidate, a Ask) int {
-	best, least, ties := -1, 0.0, 0
+// Choose returns the index of the cheapest candidate with capacity, or -1. It skips limited
+// candidates. Candidates that are down are only chosen if all are, as they may have started
+// again. Among candidates of equal cost it picks one at random, so that daemons with the
+// same data do not all choose the same runner.
+func Choose(candidates []Candidate, req Requirements) int {
+	best, lowest, ties := -1, 0.0, 0
 	allDown := AllDown(candidates)
 	for i := range candidates {
 		c := &candidates[i]
-		if c.Down && !allDown || c.Limited || c.Full(a) {
+		if c.Down && !allDown || c.Limited || c.Full(req) {
 			continue
 		}
 		cost := c.cost()
 		switch {
-		case best < 0 || cost < least:
-			best, least, ties = i, cost, 1
-		case cost == least:
+		case best < 0 || cost < lowest:
+			best, lowest, ties = i, cost, 1
+		case cost == lowest:
 			ties++
 			if rand.IntN(ties) == 0 {
 				best = i
@@ -121,11 +125,11 @@
 	return best
 }
 
-// Limited returns the indexes of the limited candidates that have room, the best one first.
-func Limited(candidates []Candidate, a Ask) []int {
+// RankLimited returns the indexes of the limited candidates that have capacity, cheapest first.
+func RankLimited(candidates []Candidate, req Requirements) []int {
 	var out []int
 	for i := range candidates {
-		if c := &candidates[i]; c.Limited && !c.Down && !c.Full(a) {
+		if c := &candidates[i]; c.Limited && !c.Down && !c.Full(req) {
 			out = append(out, i)
 		}
 	}
@@ -134,34 +138,35 @@
 	return out
 }
 
-// AllDown says whether no candidate's process runs.
+// AllDown reports whether the processes of all candidates have exited.
 func AllDown(candidates []Candidate) bool {
 	return !slices.ContainsFunc(candidates, func(c Candidate) bool { return !c.Down })
 }
 
-// Bounds of Retry-After, for plain services and for engines.
+// Bounds of Retry-After for plain services and for engines.
 const (
-	minRetry       = 100 * time.Millisecond
-	maxRetry       = 2 * time.Second
-	minEngineRetry = 500 * time.Millisecond
-	maxEngineRetry = 4 * time.Second
-	// retryTargets is how many targets a caller of an engine stays away: it can't be
-	// served in time any more, and more is asked of a model than its copies can do
-	// for the seconds in which a burst passes or more copies are loaded. Most callers
-	// come back once; told half a target, they found the same full runners.
+	minRetryAfter       = 100 * time.Millisecond
+	maxRetryAfter       = 2 * time.Second
+	minEngineRetryAfter = 500 * time.Millisecond
+	maxEngineRetryAfter = 4 * time.Second
+	// retryTargets is the delay for callers of an engine, as a multiple of the target
+	// latency. The refused request can't meet its target any more, and demand exceeds
+	// the capacity of a model's replicas for the seconds until a burst passes or more
+	// replicas are loaded. Most callers retry once; with a delay of half a target they
+	// found the same runners still full.
 	retryTargets = 4
-	// retrySpread is the part of the time by which callers are told different ones:
-	// those that were refused together must not come back together.
-	retrySpread = 0.3
+	// retryJitter is the fraction of the delay that is randomised, so that callers
+	// refused at the same time do not retry at the same time.
+	retryJitter = 0.3
 )
 
-// RetryAfter is when a refused caller is likely to find room. At a plain service a
-// share of the places has become free after a fraction of what its requests are meant
-// to last.
+// RetryAfter returns the delay after which a refused caller is likely to find capacity. At
+// a plain service a share of the slots is free again after a fraction of the target latency
+// of its requests.
 func RetryAfter(target time.Duration, engine bool) time.Duration {
 	if !engine {
-		return min(max(target/2, minRetry), maxRetry)
+		return min(max(target/2, minRetryAfter), maxRetryAfter)
 	}
-	wait := min(max(retryTargets*target, minEngineRetry), maxEngineRetry)
-	return wait - time.Duration(retrySpread*rand.Float64()*float64(wait))
+	wait := min(max(retryTargets*target, minEngineRetryAfter), maxEngineRetryAfter)
+	return wait - time.Duration(retryJitter*rand.Float64()*float64(wait))
 }
--- a/coordination/policy/choose_test.go
+++ b/coordination/policy/choose_test.go
@@ -10,51 +10,51 @@
 )
 
 func TestChoose(t *testing.T) {
-	near := Candidate{ID: "near", Slots: 8, SamePlace: true}
+	near := Candidate{ID: "near", Slots: 8, SameDataCentre: true}
 	far := Candidate{ID: "far", Slots: 8}
 	busy := func(c Candidate, n int) Candidate {
 		c.Requests = n
 		return c
 	}
-	failed, leaves, down := near, near, near
+	failed, leaving, down := near, near, near
 	down.Down = true
 	failed.Penalty = 1
-	leaves.Leaving = true
+	leaving.Leaving = true
 	cases := []struct {
 		name string
 		from []Candidate
 		want int
 	}{
 		{"none", nil, -1},
-		{"own place", []Candidate{far, near}, 1},
-		{"other place when clearly less busy", []Candidate{busy(near, 6), far}, 1},
-		{"own place when hardly busier", []Candidate{busy(near, 1), far}, 0},
-		{"failed lately", []Candidate{failed, far}, 1},
-		{"its process has ended", []Candidate{down, busy(far, 9)}, 1},
-		{"has ended, and nobody else has the model", []Candidate{down}, 0},
-		{"has ended, and the other one is full", []Candidate{down, busy(far, 12)}, -1},
-		{"is taken away", []Candidate{leaves, far}, 1},
+		{"own data centre", []Candidate{far, near}, 1},
+		{"other data centre if clearly less busy", []Candidate{busy(near, 6), far}, 1},
+		{"own data centre if hardly busier", []Candidate{busy(near, 1), far}, 0},
+		{"failed recently", []Candidate{failed, far}, 1},
+		{"its process has exited", []Candidate{down, busy(far, 9)}, 1},
+		{"has exited, and no other runner has the model", []Candidate{down}, 0},
+		{"has exited, and the other one is full", []Candidate{down, busy(far, 12)}, -1},
+		{"is leaving", []Candidate{leaving, far}, 1},
 		{"all are full", []Candidate{busy(near, 10), busy(far, 12)}, -1},
 		{"the one that is not full", []Candidate{busy(near, 10), busy(far, 9)}, 1},
 	}
 	for _, one := range cases {
-		assert.Equal(t, Choose(one.from, Ask{Engine: true, Queue: 0.25}), one.want, one.name)
+		assert.Equal(t, Choose(one.from, Requirements{Engine: true, QueueLimit: 0.25}), one.want, one.name)
 	}
 }
 
-// All entries that start with the same view send their first requests to the
-// same runner, which then is the slowest.
-func TestEqualRunnersAreDrawn(t *testing.T) {
+// Daemons that start with the same data must not all send their first requests to the same
+// runner, which would become the slowest.
+func TestTiesAreBrokenAtRandom(t *testing.T) {
 	seen := map[int]int{}
 	for range 300 {
-		seen[Choose(make([]Candidate, 3), Ask{})]++
+		seen[Choose(make([]Candidate, 3), Requirements{})]++
 	}
 	assert.Equal(t, len(seen), 3)
 }
 
-// Half of a service fails, and the repeats of all its requests double the load
-// of the other half, which fails as well.
-func TestRepeatsAreAShareOfRequests(t *testing.T) {
+// If half of a service fails, retries of all its requests must not double the load on the
+// other half, which would fail as well.
+func TestRetriesAreBounded(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		clock := clockwork.NewFakeClock()
 		const ratio, slack = 0.2, 5.0
@@ -67,13 +67,13 @@
 		for range rapid.IntRange(0, 400).Draw(t, "steps") {
 			clock.Advance(time.Duration(rapid.IntRange(0, 300).Draw(t, "pause")) * time.Millisecond)
 			if rapid.Bool().Draw(t, "first") {
-				b.First("s")
+				b.CountFirst("s")
 				events = append(events, event{clock.Now(), false})
-			} else if b.Repeat("s") {
+			} else if b.TakeRetry("s") {
 				events = append(events, event{clock.Now(), true})
 			}
 		}
-		// Requests count in the window or in the one before it.
+		// Requests count in the current window or in the one before it.
 		for _, end := range events {
 			first, repeat := 0, 0
 			for _, e := range events {
@@ -87,30 +87,30 @@
 					repeat++
 				}
 			}
-			assert.Assert(t, float64(repeat) <= ratio*float64(first)+slack, "%d repeats of %d requests", repeat, first)
+			assert.Assert(t, float64(repeat) <= ratio*float64(first)+slack, "%d retries of %d requests", repeat, first)
 		}
 	})
 }
 
 func TestRetryAfterIsBounded(t *testing.T) {
-	assert.Equal(t, RetryAfter(0, false), minRetry)
+	assert.Equal(t, RetryAfter(0, false), minRetryAfter)
 	assert.Equal(t, RetryAfter(time.Second, false), 500*time.Millisecond)
-	assert.Equal(t, RetryAfter(time.Hour, false), maxRetry)
+	assert.Equal(t, RetryAfter(time.Hour, false), maxRetryAfter)
 	for _, one := range []struct{ target, want time.Duration }{
-		{0, minEngineRetry}, {400 * time.Millisecond, 1600 * time.Millisecond}, {time.Hour, maxEngineRetry},
+		{0, minEngineRetryAfter}, {400 * time.Millisecond, 1600 * time.Millisecond}, {time.Hour, maxEngineRetryAfter},
 	} {
 		for range 100 {
 			got := RetryAfter(one.target, true)
-			assert.Assert(t, got <= one.want && float64(got) >= (1-retrySpread)*float64(one.want), "%v of %v", got, one.want)
+			assert.Assert(t, got <= one.want && float64(got) >= (1-retryJitter)*float64(one.want), "%v of %v", got, one.want)
 		}
 	}
 }
 
-// All callers of a busy model are late: its runners have a quarter more requests than
-// slots for as long as more is asked of it than its copies can do, and those in line wait
-// longer than their targets. Each route's requests may be in a line that leaves them in
-// time; those that may stand behind stand behind.
-func TestRoomByTarget(t *testing.T) {
+// While the demand for a model exceeds the capacity of its replicas, its runners must not
+// fill up to a quarter more requests than slots: every queued request would then wait longer
+// than its target latency. The queue limit of each route must let its requests meet their
+// target; routes with a long target may queue behind others.
+func TestQueueLimitByTarget(t *testing.T) {
 	const length = 3 * time.Second
 	cases := []struct {
 		name     string
@@ -118,28 +118,28 @@
 		requests int // at a runner of 32 slots
 		room     bool
 	}{
-		{"a live request finds a slot", 400 * time.Millisecond, 31, true},
-		{"is fourth in line", 400 * time.Millisecond, 35, true},
-		{"would be late", 400 * time.Millisecond, 36, false},
-		{"a patient one stands behind", 4 * time.Second, 40, true},
-		{"but not until its caller has gone", 4 * time.Second, 48, false},
+		{"short target, a slot is free", 400 * time.Millisecond, 31, true},
+		{"short target, fourth in the queue", 400 * time.Millisecond, 35, true},
+		{"short target, would be late", 400 * time.Millisecond, 36, false},
+		{"long target, queued", 4 * time.Second, 40, true},
+		{"long target, queue so long that callers give up", 4 * time.Second, 48, false},
 	}
 	for _, one := range cases {
 		c := Candidate{Slots: 32, Requests: one.requests}
-		a := Ask{Engine: true, Queue: Queue(one.target, length)}
+		a := Requirements{Engine: true, QueueLimit: QueueLimit(one.target, length)}
 		assert.Equal(t, !c.Full(a), one.room, one.name)
 	}
-	assert.Equal(t, Queue(time.Second, 0), maxQueue, "before any stream has ended")
-	assert.Assert(t, Queue(time.Second, 8*time.Second) < Queue(time.Second, 4*time.Second), "a slower runner has a shorter line")
+	assert.Equal(t, QueueLimit(time.Second, 0), maxQueue, "before any stream has ended")
+	assert.Assert(t, QueueLimit(time.Second, 8*time.Second) < QueueLimit(time.Second, 4*time.Second), "a slower runner has a shorter queue")
 }
 
 func BenchmarkChoose(b *testing.B) {
 	candidates := make([]Candidate, 100)
 	for i := range candidates {
-		candidates[i] = Candidate{Slots: 64, Requests: i % 70, SamePlace: i%3 == 0}
+		candidates[i] = Candidate{Slots: 64, Requests: i % 70, SameDataCentre: i%3 == 0}
 	}
 	b.ReportAllocs()
 	for b.Loop() {
-		Choose(candidates, Ask{Engine: true, Queue: 0.25})
+		Choose(candidates, Requirements{Engine: true, QueueLimit: 0.25})
 	}
 }
--- a/coordination/policy/ends.go
+++ b/coordination/policy/ends.go
@@ -7,92 +7,95 @@
 )
 
 const (
-	// crashLimit is how many runners that had begun a request may end under it before it is
-	// held back. With one or two, requests that were there by chance would be held as well.
-	crashLimit = 3
-	// freshWeight weighs the end of a runner that had just begun the request. One that ends
-	// its runner is always in that state, of the others hardly any: two ends are enough.
-	// begunWeight is for one that had begun it at any time, waitingWeight for one where it may
-	// still have waited for its turn.
+	// exitLimit is how many runners that had started a request may exit while it is in
+	// progress before it is held back. With a limit of one or two, requests that were
+	// there by chance would be held back as well.
+	exitLimit = 3
+	// freshWeight is the weight of the exit of a runner that had just started the request.
+	// A request that crashes its runner is always in that state, others hardly ever: two
+	// such exits are enough. startedWeight is for a runner that had started the request at
+	// any earlier time, queuedWeight for one where it may still have been queued.
 	freshWeight   = 3
-	begunWeight   = 2
-	waitingWeight = 1
-	// endMemory is how long the end of a runner counts.
-	endMemory = 10 * time.Minute
-	// endsMost bounds the requests of which ends are kept. Each runner that ends leaves
-	// as many as it had in progress, nearly all of which never come again.
-	endsMost = 8192
+	startedWeight = 2
+	queuedWeight  = 1
+	// exitRetention is how long a runner's exit counts.
+	exitRetention = 10 * time.Minute
+	// maxTrackedRequests bounds the requests with recorded exits. Each exit adds all requests
+	// in progress at that runner, nearly all of which never come again.
+	maxTrackedRequests = 8192
 )
 
-// Life stands for one life of a runner, from a start to its end.
+// Life identifies one instance of a runner, from its start to its exit.
 type Life uint64
 
-// Ends keeps under which requests runners have ended. A request that was at work on
-// a runner when it ended may have ended it, or only have been there; one that is there at
-// every end and is never served is taken for the cause. It is not safe for concurrent use.
+// Ends records the requests that were in progress at runners that exited. A request in
+// progress at an exit may have caused it or may have been there by chance; one that is
+// present at every exit and is never served is taken for the cause. Ends is not safe for
+// concurrent use.
 type Ends struct {
-	by map[core.Digest]*endings
+	byDigest map[core.Digest]*requestExits
 }
 
-type endings struct {
-	lives map[Life]int // weight of each runner's end
-	last  time.Time
+type requestExits struct {
+	weights  map[Life]int // of each runner instance's exit
+	lastExit time.Time
 }
 
 // NewEnds returns an empty Ends.
-func NewEnds() *Ends { return &Ends{by: map[core.Digest]*endings{}} }
+func NewEnds() *Ends { return &Ends{byDigest: map[core.Digest]*requestExits{}} }
 
-// Add counts the end of a runner under a request, once however often it is told. It
-// returns how many runners have ended under it, and whether it is to be held back.
-func (e *Ends) Add(now time.Time, d core.Digest, life Life, begun bool) (runners int, hold bool) {
-	if begun {
-		return e.add(now, d, life, begunWeight)
+// Add records the exit of a runner with a request in progress. Repeated reports of one exit
+// count once. It returns how many runners have exited with the request in progress, and
+// whether it must be held back.
+func (e *Ends) Add(now time.Time, d core.Digest, life Life, started bool) (runners int, hold bool) {
+	if started {
+		return e.add(now, d, life, startedWeight)
 	}
-	return e.add(now, d, life, waitingWeight)
+	return e.add(now, d, life, queuedWeight)
 }
 
-// AddFresh is Add for a request that the runner had just begun.
+// AddFresh is Add for a request that the runner had just started.
 func (e *Ends) AddFresh(now time.Time, d core.Digest, life Life) (runners int, hold bool) {
 	return e.add(now, d, life, freshWeight)
 }
 
 func (e *Ends) add(now time.Time, d core.Digest, life Life, weight int) (runners int, hold bool) {
-	one := e.by[d]
-	if one == nil || now.Sub(one.last) > endMemory {
-		e.makeRoom(now)
-		one = &endings{lives: map[Life]int{}}
-		e.by[d] = one
+	one := e.byDigest[d]
+	if one == nil || now.Sub(one.lastExit) > exitRetention {
+		e.evict(now)
+		one = &requestExits{weights: map[Life]int{}}
+		e.byDigest[d] = one
 	}
-	one.lives[life] = max(one.lives[life], weight)
-	one.last = now
+	one.weights[life] = max(one.weights[life], weight)
+	one.lastExit = now
 	sum := 0
-	for _, w := range one.lives {
+	for _, w := range one.weights {
 		sum += w
 	}
-	return len(one.lives), sum >= crashLimit*begunWeight
+	return len(one.weights), sum >= exitLimit*startedWeight
 }
 
-// Clear forgets what is held against a request.
-func (e *Ends) Clear(d core.Digest) { delete(e.by, d) }
+// Clear drops the recorded exits of a request.
+func (e *Ends) Clear(d core.Digest) { delete(e.byDigest, d) }
 
-// makeRoom drops what is too old, and where that is not enough the requests under which
-// the fewest runners have ended, oldest first.
-func (e *Ends) makeRoom(now time.Time) {
-	if len(e.by) < endsMost {
+// evict removes expired records and, if that is not enough, the request with the fewest
+// exits, the one with the oldest last exit first.
+func (e *Ends) evict(now time.Time) {
+	if len(e.byDigest) < maxTrackedRequests {
 		return
 	}
-	var least core.Digest
-	var found *endings
-	for d, one := range e.by {
-		if now.Sub(one.last) > endMemory {
-			delete(e.by, d)
+	var victim core.Digest
+	var fewest *requestExits
+	for d, one := range e.byDigest {
+		if now.Sub(one.lastExit) > exitRetention {
+			delete(e.byDigest, d)
 			continue
 		}
-		if found == nil || len(one.lives) < len(found.lives) || len(one.lives) == len(found.lives) && one.last.Before(found.last) {
-			least, found = d, one
+		if fewest == nil || len(one.weights) < len(fewest.weights) || len(one.weights) == len(fewest.weights) && one.lastExit.Before(fewest.lastExit) {
+			victim, fewest = d, one
 		}
 	}
-	if len(e.by) >= endsMost {
-		delete(e.by, least)
+	if len(e.byDigest) >= maxTrackedRequests {
+		delete(e.byDigest, victim)
 	}
 }
--- a/coordination/policy/ends_test.go
+++ b/coordination/policy/ends_test.go
@@ -16,50 +16,51 @@
 	return d
 }
 
-func TestEnds(t *testing.T) {
-	type end struct {
-		after time.Duration
-		life  Life
-		begun bool
+func TestHoldAfterRunnerExits(t *testing.T) {
+	type exit struct {
+		after    time.Duration
+		instance Life
+		started  bool
 	}
 	for _, tt := range []struct {
-		name string
-		ends []end
-		hold bool
+		name  string
+		exits []exit
+		hold  bool
 	}{
-		{"two runners", []end{{0, 1, true}, {0, 2, true}}, false},
-		{"three runners", []end{{0, 1, true}, {0, 2, true}, {0, 3, true}}, true},
-		{"one runner told thrice", []end{{0, 1, true}, {0, 1, true}, {0, 1, true}}, false},
-		{"three where it may have waited", []end{{0, 1, false}, {0, 2, false}, {0, 3, false}}, false},
-		{"six where it may have waited", []end{{0, 1, false}, {0, 2, false}, {0, 3, false}, {0, 4, false}, {0, 5, false}, {0, 6, false}}, true},
-		{"waited, as one daemon tells, and begun, as another does", []end{{0, 1, false}, {0, 1, true}, {0, 2, true}, {0, 3, true}, {0, 3, false}}, true},
-		{"two, and one much later", []end{{0, 1, true}, {0, 2, true}, {endMemory + time.Second, 3, true}}, false},
-		{"three some minutes apart", []end{{0, 1, true}, {4 * time.Minute, 2, true}, {4 * time.Minute, 3, true}}, true},
+		{"two runners", []exit{{0, 1, true}, {0, 2, true}}, false},
+		{"three runners", []exit{{0, 1, true}, {0, 2, true}, {0, 3, true}}, true},
+		{"one exit reported three times", []exit{{0, 1, true}, {0, 1, true}, {0, 1, true}}, false},
+		{"three runners where it may have been queued", []exit{{0, 1, false}, {0, 2, false}, {0, 3, false}}, false},
+		{"six runners where it may have been queued", []exit{{0, 1, false}, {0, 2, false}, {0, 3, false}, {0, 4, false}, {0, 5, false}, {0, 6, false}}, true},
+		{"reported as queued by one daemon and as started by another", []exit{{0, 1, false}, {0, 1, true}, {0, 2, true}, {0, 3, true}, {0, 3, false}}, true},
+		{"two runners, and a third one much later", []exit{{0, 1, true}, {0, 2, true}, {exitRetention + time.Second, 3, true}}, false},
+		{"three runners some minutes apart", []exit{{0, 1, true}, {4 * time.Minute, 2, true}, {4 * time.Minute, 3, true}}, true},
 	} {
 		b, now, hold := NewEnds(), time.Unix(1e9, 0), false
-		for _, e := range tt.ends {
+		for _, e := range tt.exits {
 			now = now.Add(e.after)
-			_, hold = b.Add(now, digest(1), e.life, e.begun)
+			_, hold = b.Add(now, digest(1), e.instance, e.started)
 		}
 		assert.Equal(t, hold, tt.hold, tt.name)
 	}
 }
 
-// A third runner ends under a request that two ended under just as they began it.
-func TestTwoFreshEndsAreEnough(t *testing.T) {
+// Two runners that exited just as they started a request are enough to hold it, without a
+// third one.
+func TestTwoFreshExitsAreEnough(t *testing.T) {
 	b, now := NewEnds(), time.Unix(1e9, 0)
 	_, hold := b.AddFresh(now, digest(1), 1)
 	assert.Assert(t, !hold)
 	_, hold = b.AddFresh(now, digest(1), 1)
-	assert.Assert(t, !hold, "one runner told twice")
+	assert.Assert(t, !hold, "one exit reported twice")
 	b.Add(now, digest(2), 1, true)
 	_, hold = b.AddFresh(now, digest(2), 2)
-	assert.Assert(t, !hold, "one that was at work for longer on the first")
+	assert.Assert(t, !hold, "the first runner had been working on it for longer")
 	runners, hold := b.AddFresh(now, digest(1), 2)
 	assert.Assert(t, runners == 2 && hold)
 }
 
-func TestEndsAreCleared(t *testing.T) {
+func TestExitsAreCleared(t *testing.T) {
 	b, now := NewEnds(), time.Unix(1e9, 0)
 	b.Add(now, digest(1), 1, true)
 	b.Add(now, digest(1), 2, true)
@@ -68,16 +69,16 @@
 	assert.Assert(t, runners == 1 && !hold)
 }
 
-// A caller sends a flood of different requests to runners that end. What is kept of them
-// stays bounded, and the one request that ends runners is not lost among them.
-func TestEndsAreBoundedUnderAFlood(t *testing.T) {
+// When a caller sends many different requests to runners that exit, the records of exits
+// stay bounded, and the one request that crashes runners is not lost among them.
+func TestExitsAreBounded(t *testing.T) {
 	b, now, harmful := NewEnds(), time.Unix(1e9, 0), digest(0)
 	b.Add(now, harmful, 1, true)
 	b.Add(now, harmful, 2, true)
-	for i := range uint64(endsMost + 500) {
+	for i := range uint64(maxTrackedRequests + 500) {
 		b.Add(now.Add(time.Duration(i)), digest(i+1), 9, true)
 	}
-	assert.Assert(t, len(b.by) <= endsMost)
+	assert.Assert(t, len(b.byDigest) <= maxTrackedRequests)
 	_, hold := b.Add(now, harmful, 3, true)
 	assert.Assert(t, hold)
 }
--- a/coordination/policy/pace_test.go
+++ b/coordination/policy/pace_test.go
@@ -9,26 +9,27 @@
 	"pgregory.net/rapid"
 )
 
-// learned is a Pace of a service whose runners read speed tokens a second.
-func learned(speed float64) *Pace {
-	p := NewPace()
+// trainedPacer returns a Pacer with measurements of a service whose runners read speed prompt
+// tokens per second.
+func trainedPacer(speed float64) *Pacer {
+	p := NewPacer()
 	rnd := rand.New(rand.NewPCG(1, 2))
 	for range 400 {
 		tokens := 100 + rnd.IntN(1400)
-		// Most first events wait for something else, too.
+		// Most first events include other waiting time.
 		wait := rnd.ExpFloat64() * 0.02
-		p.Learn("s", tokens, time.Duration((float64(tokens)/speed+wait)*float64(time.Second)))
+		p.ObserveFirstEvent("s", tokens, time.Duration((float64(tokens)/speed+wait)*float64(time.Second)))
 	}
 	return p
 }
 
-// Streams of a busy model stand still for longer than their callers bear: the demand
-// for it, 35 requests a second in clumps at each of its runners, takes 64 in 100 of what
-// a runner can read, but ten prompts and more reach one within 150 ms, as all daemons
-// have them in hand at once. With each daemon's prompts in line, a quarter and more of
-// the windows are gone in which a runner gets more to read than it can, and no prompt
-// waits for more than a quarter of its target.
-func TestClumpsOfPromptsAreSpread(t *testing.T) {
+// Streams of a busy model must not pause for longer than their callers accept. The demand of
+// 35 requests per second at each runner, in bursts, takes 64 in 100 of a runner's prefill
+// rate, but without pacing ten or more prompts reach one runner within 150 ms, as all daemons
+// send theirs at once. If each daemon paces its prompts, at least a quarter fewer windows
+// have more prompt tokens than a runner can read, and no prompt is delayed by more than
+// a quarter of its target.
+func TestPromptBurstsAreSpread(t *testing.T) {
 	const (
 		daemons, runners = 8, 4
 		speed            = 38400.0
@@ -36,49 +37,49 @@
 		window           = 150 * time.Millisecond
 		seconds          = 60
 	)
-	crowded := func(paced bool) int {
+	overloads := func(paced bool) int {
 		rnd := rand.New(rand.NewPCG(3, 4))
-		paces := make([]*Pace, daemons)
+		paces := make([]*Pacer, daemons)
 		for i := range paces {
-			paces[i] = learned(speed)
+			paces[i] = trainedPacer(speed)
 		}
-		sent := make([][]work, runners)
+		sent := make([][]sentPrompt, runners)
 		at := time.Unix(0, 0)
 		for at.Before(time.Unix(seconds, 0)) {
 			at = at.Add(time.Duration(rnd.ExpFloat64() / (35 * runners / 4) * float64(time.Second)))
-			best := rnd.IntN(runners) // that all think least busy for a moment
+			preferred := rnd.IntN(runners) // the runner that all daemons consider least busy now
 			for range 4 {
 				p, tokens := paces[rnd.IntN(daemons)], 150+rnd.IntN(1100)
-				to, wait := best, time.Duration(0)
+				to, wait := preferred, time.Duration(0)
 				if paced {
 					candidates := make([]Candidate, runners)
 					for i := range candidates {
-						candidates[i] = Candidate{Slots: 64, Requests: 20, SamePlace: i == best, Wait: p.Wait(at, id(i))}
+						candidates[i] = Candidate{Slots: 64, Requests: 20, SameDataCentre: i == preferred, Wait: p.Wait(at, runnerID(i))}
 					}
-					to = Choose(candidates, Ask{Engine: true})
-					wait = p.Take(at, "s", id(to), tokens, daemons, target)
+					to = Choose(candidates, Requirements{Engine: true})
+					wait = p.Reserve(at, "s", runnerID(to), tokens, daemons, target)
 					assert.Assert(t, wait <= target/4)
 				}
-				sent[to] = append(sent[to], work{at.Add(wait), tokens})
+				sent[to] = append(sent[to], sentPrompt{at.Add(wait), tokens})
 			}
 		}
-		return windowsOver(sent, window, int(speed*window.Seconds()))
+		return countOverloads(sent, window, int(speed*window.Seconds()))
 	}
-	before, after := crowded(false), crowded(true)
-	t.Logf("windows in which a runner has more to read than it can: %d, in line %d", before, after)
+	before, after := overloads(false), overloads(true)
+	t.Logf("windows with more prompt tokens than a runner can read: %d, paced %d", before, after)
 	assert.Assert(t, 4*after < 3*before, "%d of %d windows are left", after, before)
 }
 
-type work struct {
+type sentPrompt struct {
 	at     time.Time
 	tokens int
 }
 
-func id(i int) string { return string(rune('a' + i)) }
+func runnerID(i int) string { return string(rune('a' + i)) }
 
-// windowsOver counts the windows, each begun by a prompt, in which a runner gets more
-// than a number of tokens to read.
-func windowsOver(sent [][]work, window time.Duration, tokens int) int {
+// countOverloads counts the windows, each starting with a prompt, in which a runner receives
+// more than the given number of prompt tokens.
+func countOverloads(sent [][]sentPrompt, window time.Duration, tokens int) int {
 	n := 0
 	for _, list := range sent {
 		for _, from := range list {
@@ -96,66 +97,66 @@
 	return n
 }
 
-// Prompts wait at a runner that reads far faster than is thought, or are not spread at
-// one that is slower: the speed is learned from first events, most of which wait for
-// something else as well, and follows when it changes.
-func TestReadingSpeedIsLearned(t *testing.T) {
+// The prefill rate is estimated from first events, most of which include other waiting time,
+// and the estimate follows changes. If it were too low, prompts would be delayed needlessly;
+// if it were too high, they would not be spread.
+func TestPrefillRateEstimate(t *testing.T) {
 	for _, speed := range []float64{10000, 38400} {
-		p := learned(speed)
-		got := p.readings["s"].speed
+		p := trainedPacer(speed)
+		got := p.services["s"].prefillRate
 		assert.Assert(t, got > 0.7*speed && got < 1.05*speed, "%.0f of %.0f", got, speed)
 		for range 2000 {
-			p.Learn("s", 1000, time.Duration(1000/(speed/2)*float64(time.Second)))
+			p.ObserveFirstEvent("s", 1000, time.Duration(1000/(speed/2)*float64(time.Second)))
 		}
-		got = p.readings["s"].speed
-		assert.Assert(t, got > 0.4*speed && got < 0.6*speed, "%.0f after it has halved from %.0f", got, speed)
+		got = p.services["s"].prefillRate
+		assert.Assert(t, got > 0.4*speed && got < 0.6*speed, "%.0f after the rate has halved from %.0f", got, speed)
 	}
 }
 
-// A service of which little is known is not paced, nor is a prompt of unknown size; a
-// runner that has started again has nothing in line.
-func TestPromptsGoOutAtOnce(t *testing.T) {
+// Prompts of a service with few measurements and prompts of unknown size are not delayed,
+// and a runner that has started again has no reserved sends.
+func TestPromptsSentWithoutDelay(t *testing.T) {
 	now := time.Unix(0, 0)
-	p := NewPace()
-	for range readSamples - 1 {
-		p.Learn("s", 1000, 100*time.Millisecond)
-		assert.Equal(t, p.Take(now, "s", "r", 1000, 8, time.Second), time.Duration(0))
+	p := NewPacer()
+	for range minSamples - 1 {
+		p.ObserveFirstEvent("s", 1000, 100*time.Millisecond)
+		assert.Equal(t, p.Reserve(now, "s", "r", 1000, 8, time.Second), time.Duration(0))
 	}
-	p.Learn("s", 1000, 100*time.Millisecond)
-	assert.Equal(t, p.Take(now, "s", "r", 0, 8, time.Second), time.Duration(0))
-	assert.Equal(t, p.Take(now, "s", "r", 1000, 8, time.Second), time.Duration(0), "the first in line")
-	assert.Assert(t, p.Take(now, "s", "r", 1000, 8, time.Second) > 0)
+	p.ObserveFirstEvent("s", 1000, 100*time.Millisecond)
+	assert.Equal(t, p.Reserve(now, "s", "r", 0, 8, time.Second), time.Duration(0))
+	assert.Equal(t, p.Reserve(now, "s", "r", 1000, 8, time.Second), time.Duration(0), "the first prompt")
+	assert.Assert(t, p.Reserve(now, "s", "r", 1000, 8, time.Second) > 0)
 	assert.Assert(t, p.Wait(now, "r") > 0)
 	assert.Equal(t, p.Wait(now, "other"), time.Duration(0))
 	p.Forget("r")
-	assert.Equal(t, p.Take(now, "s", "r", 1000, 8, time.Second), time.Duration(0))
+	assert.Equal(t, p.Reserve(now, "s", "r", 1000, 8, time.Second), time.Duration(0))
 }
 
-// Whatever comes, a wait is never below 0, nor over a quarter of the target.
+// A delay is never negative and never more than a quarter of the target.
 func TestWaitsAreBounded(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		p := NewPace()
+		p := NewPacer()
 		now := time.Unix(0, 0)
 		for range rapid.IntRange(0, 200).Draw(t, "steps") {
 			now = now.Add(time.Duration(rapid.IntRange(0, 100).Draw(t, "pause")) * time.Millisecond)
-			p.Learn("s", rapid.IntRange(-1, 100000).Draw(t, "tokens"), time.Duration(rapid.Int64Range(-1, 1e10).Draw(t, "first")))
+			p.ObserveFirstEvent("s", rapid.IntRange(-1, 100000).Draw(t, "tokens"), time.Duration(rapid.Int64Range(-1, 1e10).Draw(t, "first")))
 			target := time.Duration(rapid.IntRange(0, 5000).Draw(t, "target")) * time.Millisecond
-			wait := p.Take(now, "s", "r", rapid.IntRange(-1, 100000).Draw(t, "input"), rapid.IntRange(0, 100).Draw(t, "daemons"), target)
+			wait := p.Reserve(now, "s", "r", rapid.IntRange(-1, 100000).Draw(t, "input"), rapid.IntRange(0, 100).Draw(t, "daemons"), target)
 			assert.Assert(t, wait >= 0 && wait <= target/4, "%v", wait)
 		}
 	})
 }
 
-// A runner's line is as long as when its streams were short: how long they take is
-// learned, and follows.
-func TestLengthOfStreams(t *testing.T) {
-	p := NewPace()
-	assert.Equal(t, p.Length("s"), time.Duration(0))
-	p.Ended("s", time.Second)
-	assert.Equal(t, p.Length("s"), time.Second)
+// The queue limit depends on the average duration of streams, which must follow when streams
+// become longer.
+func TestStreamDurationAverage(t *testing.T) {
+	p := NewPacer()
+	assert.Equal(t, p.StreamDuration("s"), time.Duration(0))
+	p.ObserveStream("s", time.Second)
+	assert.Equal(t, p.StreamDuration("s"), time.Second)
 	for range 150 {
-		p.Ended("s", 3*time.Second)
+		p.ObserveStream("s", 3*time.Second)
 	}
-	assert.Assert(t, p.Length("s") > 2800*time.Millisecond && p.Length("s") < 3*time.Second, "%v", p.Length("s"))
-	assert.Equal(t, p.Length("other"), time.Duration(0))
+	assert.Assert(t, p.StreamDuration("s") > 2800*time.Millisecond && p.StreamDuration("s") < 3*time.Second, "%v", p.StreamDuration("s"))
+	assert.Equal(t, p.StreamDuration("other"), time.Duration(0))
 }
--- a/coordination/policy/place.go
+++ b/coordination/policy/place.go
@@ -7,134 +7,135 @@
 	"primroseward/core"
 )
 
-// HostState is a runner as placement sees it.
+// HostState is the state of a runner as used for placement.
 type HostState struct {
 	ID       string
 	Place    string
-	FreeMB   float64         // not taken, nor promised to what is on its way
-	Models   map[string]bool // present, being loaded, or promised the room of one that goes
-	Promised string          // the last of these
-	Local    map[string]bool // copies on the runner's own disk or in its memory
+	FreeMB   float64         // neither in use nor reserved for models to be loaded
+	Models   map[string]bool // loaded, loading, or to be loaded after an eviction
+	Promised string          // the model to be loaded after an eviction, if any
+	Local    map[string]bool // models with a local copy on the runner's disk or in its memory
 	Busy     bool            // an order for a model is in progress
 	Leaving  bool
-	// Down: its process has ended, though its entry stands. What it held is lost; an
-	// empty process is likely to take its place soon.
+	// Down is set if the runner's process has exited although its entry still exists. The
+	// models it had loaded are lost; an empty process is likely to replace it soon.
 	Down bool
-	// Limited: it takes fewer requests a second than it is likely to be sent. Of the models
-	// that are asked for most its copies do not count, and it is given none of them.
+	// Limited is set if the runner accepts fewer requests per second than it is likely to be
+	// sent. Its replicas of models with demand above the mean are not counted, and no such
+	// model is loaded on it.
 	Limited  bool
 	Requests int
-	// Allows says whether requests for a model may be served here; nil: all.
+	// Allows reports whether requests for a model may be served here. If nil, all may.
 	Allows func(model string) bool
 }
 
 func (h *HostState) allows(model string) bool { return h.Allows == nil || h.Allows(model) }
 
-// Weights of a runner's cost for one more copy, in seconds until the copy
-// serves. placeWeight lets a model load from the weight store rather than spoil
-// a place for a large one; busyWeight is for a request in progress there.
+// Weights in the cost of loading one more replica on a runner, in seconds until the replica
+// can serve. fragmentationWeight makes loading from the weight store cheaper than using
+// memory that a large model would need; requestWeight is per request in progress there.
 const (
-	placeWeight = 3
-	busyWeight  = 0.02
+	fragmentationWeight = 3
+	requestWeight       = 0.02
 )
 
-// Move is one order for a model that placement wants.
+// Move is a planned order to load or unload a model on a runner.
 type Move struct {
 	Runner string
 	Model  string
 	Load   bool
-	For    string // of an unload: the model that gets the room
+	For    string // of an unload: the model that gets the memory
 }
 
-// placement is one round of planning.
+// placement is the state of one planning run.
 type placement struct {
-	engine *core.Engine
-	hosts  []*HostState
-	heat   map[string]float64
-	mean   float64 // of heat, over all models
-	copies map[string]int
-	live   map[string]int // copies that are or will soon be of use: neither promised nor down
-	target map[string]int
-	moves  []Move
-	// repairOnly leaves out all but models without a copy.
+	engine         *core.Engine
+	hosts          []*HostState
+	demand         map[string]float64
+	meanDemand     float64 // demand per model, over all models
+	replicas       map[string]int
+	liveReplicas   map[string]int // replicas that serve now or will soon: neither promised nor down
+	targetReplicas map[string]int
+	moves          []Move
+	// repairOnly restricts planning to models without a live replica.
 	repairOnly bool
 }
 
 // PlaceOption changes how Place plans.
 type PlaceOption func(*placement)
 
-// RepairOnly plans only what keeps each model reachable.
+// RepairOnly plans only moves that keep each model available.
 func RepairOnly() PlaceOption { return func(p *placement) { p.repairOnly = true } }
 
-// Place plans which models to load and unload, at most one order a runner. heat
-// is how much work is asked of each model. A model without a live copy comes first, the
-// most asked for before others: until it is back each request for it is refused. Then
-// the models whose copies have most to do get more of them. Copies on runners that are
-// down count there: most processes are back within seconds, and more copies elsewhere
-// until then would displace models that are in use. A model that is asked for more than
-// the mean and that only limited runners have counts as without a live copy.
-func Place(engine *core.Engine, hosts []*HostState, heat map[string]float64, opts ...PlaceOption) []Move {
-	heat = expected(engine, heat)
-	p := &placement{engine: engine, heat: heat, copies: map[string]int{}, live: map[string]int{}}
+// Place plans which models to load and unload, with at most one order per runner. demand
+// is the request rate for each model, weighted by work. Models without a live replica come
+// first, in order of demand, because each request for them is refused until one is loaded.
+// Then the models with the highest demand per replica get more of them. For these, replicas
+// on runners that are down count: most processes are back within seconds, and replacing them
+// until then would evict models that are in use. A model with demand above the mean whose
+// only replicas are on limited runners counts as having no live replica.
+func Place(engine *core.Engine, hosts []*HostState, demand map[string]float64, opts ...PlaceOption) []Move {
+	demand = expectedDemand(engine, demand)
+	p := &placement{engine: engine, demand: demand, replicas: map[string]int{}, liveReplicas: map[string]int{}}
 	for _, o := range opts {
 		o(p)
 	}
-	p.mean = p.meanHeat()
+	p.meanDemand = p.computeMeanDemand()
 	for _, h := range hosts {
 		if h.Leaving {
 			continue
 		}
 		p.hosts = append(p.hosts, h)
 		for m := range h.Models {
-			if !h.allows(m) || h.Limited && p.hot(m) {
+			if !h.allows(m) || h.Limited && p.aboveMeanDemand(m) {
 				continue
 			}
-			p.copies[m]++
+			p.replicas[m]++
 			if !h.Down && m != h.Promised {
-				p.live[m]++
+				p.liveReplicas[m]++
 			}
 		}
 	}
 	for _, h := range p.hosts {
 		for m := range h.Models {
-			if h.Limited && p.hot(m) && p.copies[m] == 0 {
-				p.copies[m] = 1 // not absent: it only has to yield to what is asked for less
+			if h.Limited && p.aboveMeanDemand(m) && p.replicas[m] == 0 {
+				p.replicas[m] = 1 // not absent: it may only replace models with less demand
 			}
 		}
 	}
-	p.target = targets(engine, p.hosts, heat)
-	for _, m := range p.wanted() {
-		p.place(m)
+	p.targetReplicas = replicaTargets(engine, p.hosts, demand)
+	for _, m := range p.underReplicated() {
+		p.placeReplica(m)
 	}
 	return p.moves
 }
 
-// meanHeat is how much work is asked of a model on average.
-func (p *placement) meanHeat() float64 {
+// computeMeanDemand returns the mean demand per model.
+func (p *placement) computeMeanDemand() float64 {
 	sum := 0.0
-	for _, v := range p.heat {
+	for _, v := range p.demand {
 		sum += v
 	}
 	return sum / float64(max(1, len(p.engine.Models)))
 }
 
-// hot says whether a model is asked for more than the mean: too much for a limited runner.
-func (p *placement) hot(model string) bool { return p.heat[model] > p.mean }
+// aboveMeanDemand reports whether a model's demand exceeds the mean, which is too much for a
+// limited runner.
+func (p *placement) aboveMeanDemand(model string) bool { return p.demand[model] > p.meanDemand }
 
-// nextShares are how much of a model's demand is expected of the models that
-// follow it in the service's list: demand moves on along the list within
-// seconds, faster than copies can be loaded from the weight store. Half gets
-// the next model a few copies before it is asked for, without taking the busy
-// one's.
-var nextShares = []float64{0.5, 0.2}
+// successorShares are the fractions of a model's demand that are expected for the models
+// that follow it in the service's list. Demand moves along the list within seconds, faster
+// than replicas can be loaded from the weight store. A share of one half gives the next
+// model a few replicas before its demand rises, without taking those of the busy model.
+var successorShares = []float64{0.5, 0.2}
 
-// expected is the demand with what is likely to come next.
-func expected(engine *core.Engine, heat map[string]float64) map[string]float64 {
+// expectedDemand returns the demand including the demand that is likely to follow.
+func expectedDemand(engine *core.Engine, demand map[string]float64) map[string]float64 {
 	out := make(map[string]float64, len(engine.Models))
 	for i := range engine.Models {
-		now := heat[engine.Models[i].Name]
+		now := demand[engine.Models[i].Name]
 		out[engine.Models[i].Name] += now
-		for k, share := range nextShares {
+		for k, share := range successorShares {
 			if i+k+1 < len(engine.Models) {
 				out[engine.Models[i+k+1].Name] += share * now
 			}
@@ -143,8 +144,8 @@
 	return out
 }
 
-// Prior is the demand to expect before any has been seen: the models that are
-// on several runners were the busy ones.
+// Prior returns the demand to assume before any has been observed: models loaded on several
+// runners had high demand.
 func Prior(hosts []*HostState) map[string]float64 {
 	out := map[string]float64{}
 	for _, h := range hosts {
@@ -160,94 +161,94 @@
 	return out
 }
 
-// targets shares the runners' memory among the models: one copy each, then copy
-// by copy to the model whose copies have most to do.
-func targets(engine *core.Engine, hosts []*HostState, heat map[string]float64) map[string]int {
+// replicaTargets divides the runners' memory among the models: one replica each, then one
+// replica at a time to the model with the highest demand per replica.
+func replicaTargets(engine *core.Engine, hosts []*HostState, demand map[string]float64) map[string]int {
 	out := make(map[string]int, len(engine.Models))
-	most := make(map[string]int, len(engine.Models))
-	left := engine.MemoryMB * float64(len(hosts))
+	maxReplicas := make(map[string]int, len(engine.Models))
+	freeMB := engine.MemoryMB * float64(len(hosts))
 	for i := range engine.Models {
 		m := &engine.Models[i]
 		out[m.Name] = 1
-		left -= m.MemoryMB
+		freeMB -= m.MemoryMB
 		for _, h := range hosts {
 			if h.allows(m.Name) {
-				most[m.Name]++
+				maxReplicas[m.Name]++
 			}
 		}
 	}
-	queue := make(needs, 0, len(engine.Models))
+	queue := make(replicaQueue, 0, len(engine.Models))
 	for i := range engine.Models {
 		m := &engine.Models[i]
-		if heat[m.Name] > 0 {
-			queue = append(queue, need{model: m, heat: heat[m.Name], order: i, copies: 1})
+		if demand[m.Name] > 0 {
+			queue = append(queue, replicaCandidate{model: m, demand: demand[m.Name], order: i, replicas: 1})
 		}
 	}
 	heap.Init(&queue)
 	for len(queue) > 0 {
 		n := &queue[0]
-		if n.copies >= most[n.model.Name] || n.model.MemoryMB > left {
-			heap.Pop(&queue) // there is never more room than now
+		if n.replicas >= maxReplicas[n.model.Name] || n.model.MemoryMB > freeMB {
+			heap.Pop(&queue) // free memory never grows in this loop
 			continue
 		}
-		n.copies++
-		left -= n.model.MemoryMB
-		out[n.model.Name] = n.copies
+		n.replicas++
+		freeMB -= n.model.MemoryMB
+		out[n.model.Name] = n.replicas
 		heap.Fix(&queue, 0)
 	}
 	return out
 }
 
-// need is a model in the queue for one more copy.
-type need struct {
-	model  *core.Model
-	heat   float64
-	order  int // in the service's list
-	copies int
+// replicaCandidate is a model in the queue for one more replica.
+type replicaCandidate struct {
+	model    *core.Model
+	demand   float64
+	order    int // position in the service's list
+	replicas int
 }
 
-// needs is a heap: the model whose copies have most to do comes first.
-type needs []need
+// replicaQueue is a heap with the highest demand per replica on top.
+type replicaQueue []replicaCandidate
 
-func (q needs) Len() int { return len(q) }
+func (q replicaQueue) Len() int { return len(q) }
 
-func (q needs) Less(i, k int) bool {
-	a, b := q[i].heat/float64(q[i].copies), q[k].heat/float64(q[k].copies)
+func (q replicaQueue) Less(i, k int) bool {
+	a, b := q[i].demand/float64(q[i].replicas), q[k].demand/float64(q[k].replicas)
 	if a != b {
 		return a > b
 	}
 	return q[i].order < q[k].order
 }
 
-func (q needs) Swap(i, k int) { q[i], q[k] = q[k], q[i] }
+func (q replicaQueue) Swap(i, k int) { q[i], q[k] = q[k], q[i] }
 
 // Push implements heap.Interface.
-func (q *needs) Push(x any) { *q = append(*q, x.(need)) }
+func (q *replicaQueue) Push(x any) { *q = append(*q, x.(replicaCandidate)) }
 
 // Pop implements heap.Interface.
-func (q *needs) Pop() any {
+func (q *replicaQueue) Pop() any {
 	last := len(*q) - 1
 	n := (*q)[last]
 	*q = (*q)[:last]
 	return n
 }
 
-// wanted lists the models that lack copies, most urgent first.
-func (p *placement) wanted() []string {
+// underReplicated lists the models that have too few replicas, most urgent first.
+func (p *placement) underReplicated() []string {
 	var out []string
 	for i := range p.engine.Models {
-		if m := p.engine.Models[i].Name; p.live[m] == 0 || p.copies[m] < p.target[m] && !p.repairOnly {
+		if m := p.engine.Models[i].Name; p.liveReplicas[m] == 0 || p.replicas[m] < p.targetReplicas[m] && !p.repairOnly {
 			out = append(out, m)
 		}
 	}
 	slices.SortStableFunc(out, func(a, b string) int {
-		if absent := p.live[a] == 0; absent != (p.live[b] == 0) {
+		if absent := p.liveReplicas[a] == 0; absent != (p.liveReplicas[b] == 0) {
 			if absent {
 				return -1
 			}
 			return 1
 		}
-		ha, hb := p.heat[a]/float64(p.copies[a]+1), p.heat[b]/float64(p.copies[b]+1)
+		ha, hb := p.demand[a]/float64(p.replicas[a]+1), p.demand[b]/float64(p.replicas[b]+1)
 		switch {
 		case ha > hb:
 			return -1
@@ -259,29 +260,29 @@
 	return out
 }
 
-// place finds the runner that gets one more copy of a model, and makes room
-// there first where there is none.
-func (p *placement) place(model string) {
-	need := p.engine.Model(model).MemoryMB
+// placeReplica finds the runner for one more replica of a model and plans the load, or the
+// unload of another model if no runner has enough free memory.
+func (p *placement) placeReplica(model string) {
+	needMB := p.engine.Model(model).MemoryMB
 	var best *HostState
 	var victim string
 	bestCost := 0.0
-	places := p.places(model)
-	promised := p.live[model] == 0 && p.promised(model)
+	dataCentres := p.dataCentres(model)
+	draining := p.liveReplicas[model] == 0 && p.drainInProgress(model)
 	for _, h := range p.hosts {
-		if h.Busy || h.Down || h.Limited && p.hot(model) || h.Models[model] || p.taken(h.ID) || !h.allows(model) {
+		if h.Busy || h.Down || h.Limited && p.aboveMeanDemand(model) || h.Models[model] || p.hasMove(h.ID) || !h.allows(model) {
 			continue
 		}
 		v := ""
-		if h.FreeMB < need {
-			if promised {
-				continue // one drain is enough, but a runner with room may have it sooner
+		if h.FreeMB < needMB {
+			if draining {
+				continue // one drain is enough, but a runner with free memory may load it sooner
 			}
-			if v = p.victim(h, model, need); v == "" {
+			if v = p.chooseVictim(h, model, needMB); v == "" {
 				continue
 			}
 		}
-		if cost := p.hostCost(h, model, v, places[h.Place]); best == nil || cost < bestCost {
+		if cost := p.hostCost(h, model, v, dataCentres[h.Place]); best == nil || cost < bestCost {
 			best, victim, bestCost = h, v, cost
 		}
 	}
@@ -291,30 +292,31 @@
 	if victim != "" {
 		p.moves = append(p.moves, Move{Runner: best.ID, Model: victim, For: model})
 		if best.allows(victim) {
-			p.copies[victim]--
-			p.live[victim]--
+			p.replicas[victim]--
+			p.liveReplicas[victim]--
 		}
 	} else {
 		p.moves = append(p.moves, Move{Runner: best.ID, Model: model, Load: true})
 	}
-	p.copies[model]++
-	p.live[model]++
+	p.replicas[model]++
+	p.liveReplicas[model]++
 }
 
-// promised says whether a runner is to get a model once another one has been drained.
-func (p *placement) promised(model string) bool {
+// drainInProgress reports whether a runner that is up is draining another model to load this
+// one.
+func (p *placement) drainInProgress(model string) bool {
 	return slices.ContainsFunc(p.hosts, func(h *HostState) bool { return h.Promised == model && !h.Down })
 }
 
-func (p *placement) taken(id string) bool {
+func (p *placement) hasMove(id string) bool {
 	return slices.ContainsFunc(p.moves, func(m Move) bool { return m.Runner == id })
 }
 
-// hostCost orders the runners for a model, in seconds that it is likely to
-// take until the copy serves, roughly: a load from the weight store takes
-// about three, one from the runner's own disk or memory less than one, and an
-// unload waits for the requests that run.
-func (p *placement) hostCost(h *HostState, model, victim string, samePlace bool) float64 {
+// hostCost returns the cost of loading a model on a runner, roughly in seconds until the
+// replica serves. A load from the weight store takes about three seconds, one from the
+// runner's own disk or memory less than one, and an unload waits for the requests in
+// progress.
+func (p *placement) hostCost(h *HostState, model, victim string, sameDataCentre bool) float64 {
 	cost := 0.0
 	if !h.Local[model] {
 		cost += 3
@@ -322,17 +324,18 @@
 	if victim != "" {
 		cost++
 	}
-	if samePlace {
-		cost += 0.5 // one crash or cut of a place must not take all copies
+	if sameDataCentre {
+		cost += 0.5 // a crash or network partition of one data centre must not take all replicas
 	}
-	cost += placeWeight * float64(p.placesLost(h, model, victim))
-	return cost + busyWeight*float64(h.Requests)
+	cost += fragmentationWeight * float64(p.largeReplicasLost(h, model, victim))
+	return cost + requestWeight*float64(h.Requests)
 }
 
-// placesLost is how many copies of the largest model a runner can take less
-// with one more copy of model. Small models side by side on one runner leave
-// whole places on others; one on each would spoil a place of each.
-func (p *placement) placesLost(h *HostState, model, victim string) int {
+// largeReplicasLost returns by how many replicas of the largest model a runner's capacity
+// falls when it loads one more replica of model. Small models packed on one runner leave
+// memory for whole large models on others; one small model on each runner would take that
+// memory on each of them.
+func (p *placement) largeReplicasLost(h *HostState, model, victim string) int {
 	largest := 0.0
 	for i := range p.engine.Models {
 		largest = max(largest, p.engine.Models[i].MemoryMB)
@@ -344,8 +347,8 @@
 	return int(free/largest) - int((free-p.engine.Model(model).MemoryMB)/largest)
 }
 
-// places are those that have a copy of a model.
-func (p *placement) places(model string) map[string]bool {
+// dataCentres returns the data centres that have a replica of a model.
+func (p *placement) dataCentres(model string) map[string]bool {
 	out := map[string]bool{}
 	for _, h := range p.hosts {
 		if h.Models[model] {
@@ -355,40 +358,43 @@
 	return out
 }
 
-// victim is the model that a runner gives up for another: of those that may yield the
-// one least asked for.
-func (p *placement) victim(h *HostState, model string, need float64) string {
+// chooseVictim returns the model that a runner evicts for another: the one with the lowest
+// demand per replica among those that may be evicted, or "" if there is none.
+func (p *placement) chooseVictim(h *HostState, model string, needMB float64) string {
 	best := ""
 	for v := range h.Models {
 		spec := p.engine.Model(v)
-		if spec == nil || !p.mayYield(h, v, model) || h.FreeMB+spec.MemoryMB < need {
+		if spec == nil || !p.mayEvict(h, v, model) || h.FreeMB+spec.MemoryMB < needMB {
 			continue
 		}
-		if best == "" || p.perCopy(v) < p.perCopy(best) || p.perCopy(v) == p.perCopy(best) && v < best {
+		if best == "" || p.perReplica(v) < p.perReplica(best) || p.perReplica(v) == p.perReplica(best) && v < best {
 			best = v
 		}
 	}
 	return best
 }
 
-// mayYield says whether a runner may give up its copy of v for a model. A copy where no
-// request for v may be served is of no use; the last live copy stays. For a model
-// without any copy each v that has a second one may go, for one whose runners are all
-// down only a v that is asked for less, as the processes are likely to be back.
-func (p *placement) mayYield(h *HostState, v, model string) bool {
+// mayEvict reports whether a runner may evict its replica of v to load model. A replica where
+// no request for v may be served is of no use and may go; the last live replica of v stays.
+// Of the others, replicas beyond the target of v may go. For a model without any replica,
+// each v with a second live one may go. For a model whose
+// replicas are all on runners that are down, v may only go if its demand is lower, as those
+// processes are likely to be back soon.
+func (p *placement) mayEvict(h *HostState, v, model string) bool {
 	switch {
 	case !h.allows(v):
 		return true
-	case p.live[v] < 2:
+	case p.liveReplicas[v] < 2:
 		return false
-	case p.copies[v] > p.target[v], p.copies[model] == 0:
+	case p.replicas[v] > p.targetReplicas[v], p.replicas[model] == 0:
 		return true
 	default:
-		return p.live[model] == 0 && p.perOther(v) < p.heat[model]
+		return p.liveReplicas[model] == 0 && p.perRemaining(v) < p.demand[model]
 	}
 }
 
-// perOther is what each live copy of a model has to do when one of them goes.
-func (p *placement) perOther(m string) float64 { return p.heat[m] / float64(p.live[m]-1) }
+// perRemaining returns a model's demand per live replica that remains if one is evicted.
+func (p *placement) perRemaining(m string) float64 { return p.demand[m] / float64(p.liveReplicas[m]-1) }
 
-func (p *placement) perCopy(m string) float64 { return p.heat[m] / float64(max(1, p.copies[m])) }
+// perReplica returns a model's demand per replica.
+func (p *placement) perReplica(m string) float64 { return p.demand[m] / float64(max(1, p.replicas[m])) }
--- a/coordination/policy/place_test.go
+++ b/coordination/policy/place_test.go
@@ -9,13 +9,13 @@
 	"primroseward/core"
 )
 
-// fleet is an engine service for tests: moves are carried out at once.
+// fleet is an engine service whose planned moves are carried out at once.
 type fleet struct {
 	engine *core.Engine
 	hosts  []*HostState
 }
 
-// newFleet makes n empty runners of a memory and models of the given sizes.
+// newFleet returns n empty runners with memoryMB each, and models of the given sizes.
 func newFleet(n int, memoryMB float64, sizes []float64) *fleet {
 	f := &fleet{engine: &core.Engine{Slots: 64, MemoryMB: memoryMB}}
 	for i, mb := range sizes {
@@ -41,12 +41,12 @@
 	return nil
 }
 
-// settle plans and carries out until nothing is wanted; it returns the moves.
-func (f *fleet) settle(t *testing.T, heat map[string]float64, rounds int) int {
+// settle plans and applies moves until none is left. It returns the number of moves.
+func (f *fleet) settle(t *testing.T, demand map[string]float64, rounds int) int {
 	t.Helper()
 	n := 0
 	for range rounds {
-		moves := Place(f.engine, f.hosts, heat)
+		moves := Place(f.engine, f.hosts, demand)
 		if len(moves) == 0 {
 			return n
 		}
@@ -67,12 +67,12 @@
 		h.Models[m.Model] = true
 		return
 	}
-	assert.Assert(t, h.Models[m.Model], "%v is not there", m)
+	assert.Assert(t, h.Models[m.Model], "%v is not loaded", m)
 	delete(h.Models, m.Model)
 	h.FreeMB += size
 }
 
-func (f *fleet) copies(model string) int {
+func (f *fleet) replicas(model string) int {
 	n := 0
 	for _, h := range f.hosts {
 		if h.Models[model] {
@@ -82,76 +82,75 @@
 	return n
 }
 
-// busiest is the largest share of the demand that one runner serves when each
-// model's demand spreads evenly over its copies.
-func (f *fleet) busiest(heat map[string]float64) float64 {
+// maxLoadShare returns the largest share of the demand that one runner serves if each
+// model's demand is spread evenly over its replicas.
+func (f *fleet) maxLoadShare(demand map[string]float64) float64 {
 	top, sum := 0.0, 0.0
-	for _, v := range heat {
+	for _, v := range demand {
 		sum += v
 	}
 	for _, h := range f.hosts {
 		load := 0.0
 		for m := range h.Models {
-			load += heat[m] / float64(f.copies(m))
+			load += demand[m] / float64(f.replicas(m))
 		}
 		top = max(top, load)
 	}
 	return top / sum
 }
 
-// workshopSizes are the models of a workshop service in megabytes. Two of the
-// large ones fill a runner of 83 GB: 15 of 24 large places are taken by one copy
-// of each.
+// workshopSizes are the models of a workshop service in megabytes. Two of the large ones
+// fill a runner of 83 GB: one replica of each takes 15 of 24 such halves.
 var workshopSizes = []float64{
 	34300, 34300, 34300, 34300, 34300, 34300, 34300, 34300, 34300, 34300,
 	34300, 16100, 16100, 34300, 16100, 16100, 34300, 34300, 16100, 34300,
 }
 
-// sharesOfDemand are what the four busy models get of the requests.
+// sharesOfDemand are the shares of the demand for the four busy models, in percent.
 var sharesOfDemand = []float64{53, 20, 15, 12}
 
-func (f *fleet) demandOf(model string) map[string]float64 { return map[string]float64{model: 1} }
+func (f *fleet) demandFor(model string) map[string]float64 { return map[string]float64{model: 1} }
 
 func (f *fleet) demand(from int) map[string]float64 {
-	heat := map[string]float64{}
+	demand := map[string]float64{}
 	for i, share := range sharesOfDemand {
-		heat[f.engine.Models[from+i].Name] = share
+		demand[f.engine.Models[from+i].Name] = share
 	}
-	return heat
+	return demand
 }
 
-// Demand moves on to the next models of the list, step by step. After each step
-// the busiest model has several copies, no model is gone, no memory is
-// exceeded, and the moves end.
+// Demand moves along the list of models step by step. After each step the busiest model has
+// several replicas, each model has at least one, no runner's memory is exceeded, and
+// planning reaches a state without further moves.
 func TestCopiesFollowDemand(t *testing.T) {
 	f := newFleet(12, 83000, workshopSizes)
 	f.settle(t, nil, 100)
 	for step := range 6 {
-		heat := f.demand(step)
-		moves := f.settle(t, heat, 400)
+		demand := f.demand(step)
+		moves := f.settle(t, demand, 400)
 		for i := range f.engine.Models {
-			assert.Assert(t, f.copies(f.engine.Models[i].Name) >= 1, "%s is gone", f.engine.Models[i].Name)
+			assert.Assert(t, f.replicas(f.engine.Models[i].Name) >= 1, "%s has no replica", f.engine.Models[i].Name)
 		}
-		busiest := f.copies(f.engine.Models[step].Name)
-		t.Logf("step %d: %d moves, %d copies of the busiest model, %.2f of the demand at one runner", step, moves, busiest, f.busiest(heat))
-		assert.Assert(t, busiest >= 3, "%d copies", busiest)
+		busiest := f.replicas(f.engine.Models[step].Name)
+		t.Logf("step %d: %d moves, %d replicas of the busiest model, %.2f of the demand at one runner", step, moves, busiest, f.maxLoadShare(demand))
+		assert.Assert(t, busiest >= 3, "%d replicas", busiest)
 		assert.Assert(t, moves < 60, "%d moves", moves)
-		assert.Equal(t, f.settle(t, heat, 10), 0, "moves do not end")
+		assert.Equal(t, f.settle(t, demand, 10), 0, "moves do not end")
 	}
 }
 
-// Requests for the next model of the list are refused while it is loaded: the
-// shift takes as long as the load. A few copies are there before it.
-func TestNextModelIsThereBeforeItsDemand(t *testing.T) {
+// Requests for the next model of the list would be refused while it is loaded, as demand
+// moves within the time of a load. A few replicas are loaded in advance.
+func TestNextModelIsLoadedBeforeItsDemand(t *testing.T) {
 	f := newFleet(12, 83000, workshopSizes)
 	f.settle(t, nil, 100)
 	f.settle(t, f.demand(0), 400)
-	assert.Assert(t, f.copies(f.engine.Models[4].Name) >= 1)
-	assert.Assert(t, f.copies(f.engine.Models[1].Name) >= 2, "%d copies", f.copies(f.engine.Models[1].Name))
+	assert.Assert(t, f.replicas(f.engine.Models[4].Name) >= 1)
+	assert.Assert(t, f.replicas(f.engine.Models[1].Name) >= 2, "%d replicas", f.replicas(f.engine.Models[1].Name))
 }
 
-// A busy model that lost all copies with a crashed runner is loaded before
-// another one gets one copy more.
+// A busy model that lost all replicas in a crash is loaded before another model gets one
+// more replica.
 func TestAbsentModelComesFirst(t *testing.T) {
 	f := newFleet(4, 83000, workshopSizes[:6])
 	f.settle(t, f.demand(0), 100)
@@ -167,57 +166,58 @@
 	assert.Assert(t, moves[0].Load && moves[0].Model == lost || moves[0].For == lost, "%v", moves)
 }
 
-// The daemon that orders runners crashes: an operator has taken a model off the
-// service's list while runners still hold it. It is left alone.
-func TestModelsThatAreNoLongerListed(t *testing.T) {
+// An operator removes a model from the service's list while runners still have it loaded.
+// Planning must not panic on it, which would crash the daemon that plans moves, and it must
+// not unload the model.
+func TestUnlistedModelsAreKept(t *testing.T) {
 	f := newFleet(2, 83000, workshopSizes[:3])
 	for _, h := range f.hosts {
 		h.Models["unlisted"] = true
 		h.FreeMB = 0
 	}
-	for _, m := range Place(f.engine, f.hosts, f.demandOf("m00")) {
+	for _, m := range Place(f.engine, f.hosts, f.demandFor("m00")) {
 		assert.Assert(t, m.Model != "unlisted")
 	}
 }
 
-// One crash must not take all copies of a model: the second one goes to another
-// place than the first.
-func TestCopiesAreInSeveralPlaces(t *testing.T) {
+// One crash must not take all replicas of a model: the second one is loaded in another data
+// centre than the first.
+func TestCopiesAreInSeveralDataCentres(t *testing.T) {
 	f := newFleet(6, 83000, workshopSizes[:2])
 	f.settle(t, map[string]float64{"m00": 1, "m01": 1}, 100)
-	places := map[string]bool{}
+	dataCentres := map[string]bool{}
 	for _, h := range f.hosts {
 		if h.Models["m00"] {
-			places[h.Place] = true
+			dataCentres[h.Place] = true
 		}
 	}
-	assert.Assert(t, len(places) >= 2, "%v", places)
+	assert.Assert(t, len(dataCentres) >= 2, "%v", dataCentres)
 }
 
 func BenchmarkPlace(b *testing.B) {
 	for _, n := range []int{12, 100, 1000} {
 		b.Run(fmt.Sprint("runners=", n), func(b *testing.B) {
 			f := newFleet(n, 83000, workshopSizes)
-			heat := f.demand(0)
+			demand := f.demand(0)
 			b.ReportAllocs()
 			for b.Loop() {
-				Place(f.engine, f.hosts, heat)
+				Place(f.engine, f.hosts, demand)
 			}
 		})
 	}
 }
 
-// A model is refused everywhere although it is loaded: operators have narrowed it
-// to one place and its copies are in another, where nobody may use them. Copies
-// must come where they may serve, and those that may not give way.
+// When operators restrict a model to one data centre, replicas in other ones may not serve,
+// and all requests for the model would be refused although it is loaded. Replicas must be
+// loaded where they may serve, and those that may not serve are evicted.
 func TestCopiesAreWhereRequestsMayBeServed(t *testing.T) {
 	cases := []struct {
 		name   string
-		before bool // the narrowing comes when all is placed
+		before bool // the model is restricted after all models are loaded
 		want   int
 	}{
-		{"narrowed before", false, 2},
-		{"narrowed later, where each runner there has the only copy of another model", true, 1},
+		{"restricted before", false, 2},
+		{"restricted later, where each runner there has the only replica of another model", true, 1},
 	}
 	for _, one := range cases {
 		f := newFleet(6, 83000, workshopSizes[:8])
@@ -229,22 +229,22 @@
 			h.Allows = func(model string) bool { return model != narrow || h.Place == "p1" }
 		}
 		f.settle(t, f.demand(0), 400)
-		good := 0
+		usable := 0
 		for _, h := range f.hosts {
 			if h.Models[narrow] && h.Place == "p1" {
-				good++
+				usable++
 			}
 		}
-		assert.Assert(t, good >= one.want, "%s: %d copies where they may serve", one.name, good)
+		assert.Assert(t, usable >= one.want, "%s: %d replicas where they may serve", one.name, usable)
 		for i := range f.engine.Models {
-			assert.Assert(t, f.copies(f.engine.Models[i].Name) >= 1, "%s: %s is gone", one.name, f.engine.Models[i].Name)
+			assert.Assert(t, f.replicas(f.engine.Models[i].Name) >= 1, "%s: %s has no replica", one.name, f.engine.Models[i].Name)
 		}
 		assert.Equal(t, f.settle(t, f.demand(0), 10), 0, "%s: moves do not end", one.name)
 	}
 }
 
-// At night nobody watches moves, and operators have paused them: a model that is
-// gone is brought back, and demand moves nothing.
+// While operators have paused moves, for example at night when nobody watches them, a model
+// without a replica is still loaded, but changes in demand cause no moves.
 func TestPausedMovesOnlyRepair(t *testing.T) {
 	f := newFleet(4, 83000, workshopSizes[:6])
 	for _, m := range Place(f.engine, f.hosts, f.demand(0), RepairOnly()) {
@@ -265,27 +265,27 @@
 	assert.Equal(t, moves[0].Model, lost)
 }
 
-// Requests for a model are refused for seconds, as the runners that had it have ended and
-// their entries stand; or copies that are in use give way for models whose processes are
-// about to be back.
+// When the runners of a model have exited and their entries still exist, its requests must
+// not be refused for seconds, and replicas in use must not be evicted for models whose
+// processes are about to be back.
 func TestModelsOfRunnersThatHaveEnded(t *testing.T) {
 	for _, tt := range []struct {
-		name string
-		heat map[string]float64
-		more func(f *fleet) // changes what is there
-		want string         // model that is ordered, or gets room
+		name   string
+		demand map[string]float64
+		setUp  func(f *fleet) // changes the initial state
+		want   string         // model that is loaded or gets the memory of another
 	}{
-		{"asked for most", map[string]float64{"m00": 9, "m01": 1}, func(*fleet) {}, "m00"},
-		{"asked for less than what would go", map[string]float64{"m00": 1, "m01": 9}, func(*fleet) {}, ""},
-		{"not asked for, where there is room", map[string]float64{"m01": 9}, func(f *fleet) { f.hosts[1].FreeMB, f.hosts[1].Models = 100, map[string]bool{} }, "m00"},
-		{"another copy is up", map[string]float64{"m00": 3, "m01": 9}, func(f *fleet) { f.hosts[3].Models = map[string]bool{"m00": true} }, ""},
-		{"promised once another model has been drained", map[string]float64{"m00": 9, "m01": 1}, func(f *fleet) { f.promise(1, "m00") }, ""},
-		{"promised, and there is room elsewhere", map[string]float64{"m00": 9, "m01": 1}, func(f *fleet) {
-			f.promise(1, "m00")
+		{"highest demand", map[string]float64{"m00": 9, "m01": 1}, func(*fleet) {}, "m00"},
+		{"less demand than the model that would be evicted", map[string]float64{"m00": 1, "m01": 9}, func(*fleet) {}, ""},
+		{"no demand, but free memory", map[string]float64{"m01": 9}, func(f *fleet) { f.hosts[1].FreeMB, f.hosts[1].Models = 100, map[string]bool{} }, "m00"},
+		{"another replica is up", map[string]float64{"m00": 3, "m01": 9}, func(f *fleet) { f.hosts[3].Models = map[string]bool{"m00": true} }, ""},
+		{"another model is being drained for it", map[string]float64{"m00": 9, "m01": 1}, func(f *fleet) { f.drainFor(1, "m00") }, ""},
+		{"another model is being drained for it, and another runner has free memory", map[string]float64{"m00": 9, "m01": 1}, func(f *fleet) {
+			f.drainFor(1, "m00")
 			f.hosts[3].FreeMB, f.hosts[3].Models = 100, map[string]bool{}
 		}, "m00"},
-		{"of two models the one that is only promised, as it is asked for more", map[string]float64{"m00": 9, "m01": 1}, func(f *fleet) {
-			f.promise(1, "m00")
+		{"two models are missing, a drain is in progress for the one with more demand", map[string]float64{"m00": 9, "m01": 1}, func(f *fleet) {
+			f.drainFor(1, "m00")
 			f.hosts[2].Models, f.hosts[2].Down = map[string]bool{"m01": true}, true
 			f.hosts[3].FreeMB, f.hosts[3].Models = 100, map[string]bool{}
 		}, "m00"},
@@ -295,9 +295,9 @@
 			h.FreeMB, h.Models, h.Down = 0, map[string]bool{"m01": true}, i == 0
 		}
 		f.hosts[0].Models = map[string]bool{"m00": true}
-		tt.more(f)
+		tt.setUp(f)
 		got := ""
-		for _, m := range Place(f.engine, f.hosts, tt.heat) {
+		for _, m := range Place(f.engine, f.hosts, tt.demand) {
 			assert.Assert(t, !f.host(m.Runner).Down, "%s: %v", tt.name, m)
 			if got == "" {
 				got = m.For
@@ -310,22 +310,22 @@
 	}
 }
 
-// promise lets a runner drain its model for another one.
-func (f *fleet) promise(i int, model string) {
+// drainFor puts a runner in the state of draining its model for another one.
+func (f *fleet) drainFor(i int, model string) {
 	f.hosts[i].Models, f.hosts[i].Promised, f.hosts[i].Busy = map[string]bool{model: true}, model, true
 }
 
-// A model that only limited runners have is refused for as long as they are limited, while
-// others have second copies of models that are asked for less.
+// A model whose only replicas are on limited runners must get a replica elsewhere instead of
+// being refused while other runners have second replicas of models with less demand.
 func TestModelsOfLimitedRunnersGetCopiesElsewhere(t *testing.T) {
 	for _, tt := range []struct {
 		name    string
-		heat    map[string]float64
+		demand  map[string]float64
 		limited int
-		want    bool // a copy elsewhere
+		want    bool // a replica elsewhere
 	}{
-		{"asked for", map[string]float64{"m00": 10, "m01": 1, "m02": 1}, 1, true},
-		{"not asked for", map[string]float64{"m01": 10, "m02": 10}, 1, false},
+		{"has demand", map[string]float64{"m00": 10, "m01": 1, "m02": 1}, 1, true},
+		{"has no demand", map[string]float64{"m01": 10, "m02": 10}, 1, false},
 		{"two runners are limited", map[string]float64{"m00": 10, "m01": 1, "m02": 1}, 2, true},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
@@ -334,15 +334,15 @@
 				f.hosts[i].FreeMB, f.hosts[i].Models[m] = 0, true
 				f.hosts[i].Limited = i < tt.limited
 			}
-			f.settle(t, tt.heat, 4)
-			copies := 0
+			f.settle(t, tt.demand, 4)
+			replicas := 0
 			for _, h := range f.hosts[1:] {
 				if h.Models["m00"] {
-					copies++
+					replicas++
 				}
 			}
-			assert.Equal(t, copies > 0, tt.want)
-			assert.Assert(t, f.hosts[0].Models["m00"], "the limited runner goes on with what it holds")
+			assert.Equal(t, replicas > 0, tt.want)
+			assert.Assert(t, f.hosts[0].Models["m00"], "the limited runner keeps its model")
 		})
 	}
 }
