--- a/coordination/dispatch/guard_test.go
+++ b/coordination/dispatch/guard_test.go
@@ -54,24 +54,24 @@
 	g.worked++
 }
 
-// errEnded is the error of a runner that exits with all of its connections.
-var errEnded = fmt.Errorf("%w: %w", core.ErrLost, core.ErrClosed)
+// errExited is the error of a runner that exits with all of its connections.
+var errExited = fmt.Errorf("%w: %w", core.ErrLost, core.ErrClosed)
 
 // crashing is a Sender whose runners exit before an answer, or after some events of it.
 type crashing struct {
-	events int
-	head   bool   // the response header is sent, but no event
-	do     func() // called before the exit
+	events     int
+	head       bool // the response header is sent, but no event
+	beforeExit func()
 }
 
 func (c *crashing) Send(_ context.Context, _ *core.Runner, _ *core.Request, o core.Outgoing) (*core.Reply, error) {
-	if c.do != nil {
-		c.do()
+	if c.beforeExit != nil {
+		c.beforeExit()
 	}
 	if c.events == 0 && !c.head {
-		return nil, errEnded
+		return nil, errExited
 	}
-	return answer(http.StatusOK, core.ReplyInfo{Stamped: true}, eventText(o.LastEvent, c.events), errEnded), nil
+	return answer(http.StatusOK, core.ReplyInfo{Stamped: true}, eventText(o.LastEvent, c.events), errExited), nil
 }
 
 // callGuarded serves one request and returns the error that its caller receives.
@@ -91,9 +91,9 @@
 	return core.AsRequestError(err), d
 }
 
-// Answers to held requests must state truly whether the request may have run, because a
-// caller that is wrongly sent "not run" retries and has it run twice. They must come at once
-// rather than at the deadline and say when to retry. Checked for each kind of route.
+// Answers to held requests must state truly whether the request may have run: a caller that
+// wrongly receives "not run" retries, and the request runs twice. They must come at once rather
+// than at the deadline, and say when to retry. This is checked for each kind of route.
 func TestAnswersToRequestsHeldBack(t *testing.T) {
 	safe, unsafe := route(core.KindSafe, false, 3), route(core.KindUnsafe, false, 3)
 	stream, whole := route(core.KindStream, true, 3), route(core.KindStream, false, 3)
@@ -146,7 +146,7 @@
 			d := newDispatcher(&fleet{nextAct: script()}, 1)
 			d.sender = s
 			WithGuard(g)(d)
-			s.do = func() {
+			s.beforeExit = func() {
 				r := d.catalog.Runner("r0").Runner
 				tt.change(&r)
 				d.catalog.Put(r, d.clock.Now())
--- a/coordination/dispatch/limits_test.go
+++ b/coordination/dispatch/limits_test.go
@@ -14,7 +14,8 @@
 )
 
 // A limited runner must not be chosen by requests that other runners can serve, even if it
-// has fewer requests in progress. If all runners are limited, the refusal must be true.
+// has fewer requests in progress. If all runners are limited, refusals must name this cause and
+// say when to retry.
 func TestLimitedRunnersAreReserved(t *testing.T) {
 	const rate, requests = 2, 100 // over ten seconds
 	for _, tt := range []struct {
--- a/coordination/dispatch/restart.go
+++ b/coordination/dispatch/restart.go
@@ -8,7 +8,7 @@
 // inFlight holds the cancel functions of sends in progress, by key.
 type inFlight[K comparable] struct {
 	mu      sync.Mutex
-	next    uint64
+	nextID  uint64
 	cancels map[K]map[uint64]context.CancelFunc
 }
 
@@ -22,8 +22,8 @@
 	if f.cancels[key] == nil {
 		f.cancels[key] = map[uint64]context.CancelFunc{}
 	}
-	f.next++
-	id, sends := f.next, f.cancels[key]
+	f.nextID++
+	id, sends := f.nextID, f.cancels[key]
 	sends[id] = cancel
 	// done is called for each event of a stream. Only the first call needs the lock, which
 	// all requests share.
--- a/coordination/dispatch/restart_test.go
+++ b/coordination/dispatch/restart_test.go
@@ -57,9 +57,9 @@
 	}
 }
 
-// After a runner's crash, requests for a model must not be sent to it first for seconds, as
-// each of them would cost a retry from the budget. After one refused connection other daemons
-// are notified once, and requests go elsewhere until the runner answers again.
+// In the seconds after a runner's crash, requests must not be sent to it first, as each of them
+// would cost a retry from the budget. After one refused connection the other daemons are
+// notified once, and requests go elsewhere until the runner answers again.
 func TestRefusedConnection(t *testing.T) {
 	f := &fleet{nextAct: func(id string) act {
 		if id == "r0" {
--- a/coordination/dispatch/send.go
+++ b/coordination/dispatch/send.go
@@ -79,9 +79,9 @@
 
 // takeRetry takes a retry from the budget, if the route allows one.
 func (j *job) takeRetry() bool {
-	kept := j.retryReserved
+	reserved := j.retryReserved
 	j.retryReserved = false
-	return j.attemptsLeft(0) && (kept || j.d.budget.TakeRetry(j.service))
+	return j.attemptsLeft(0) && (reserved || j.d.budget.TakeRetry(j.service))
 }
 
 // attemptsLeft reports whether the route allows one more run in addition to the pending ones.
--- a/coordination/dispatch/settings.go
+++ b/coordination/dispatch/settings.go
@@ -78,7 +78,7 @@
 
 // allows reports whether the request may be sent to a data centre now. Operators may have
 // excluded the data centre since the request arrived.
-func (j *job) allows(place string) bool {
+func (j *job) allows(dataCentre string) bool {
 	if j.d.settings == nil {
 		return true
 	}
@@ -86,6 +86,6 @@
 	if t == nil {
 		return true
 	}
-	_, ok := t.Allowed(tree.Coord{Service: j.service, Model: j.q.Model, Place: place})
+	_, ok := t.Allowed(tree.Coord{Service: j.service, Model: j.q.Model, Place: dataCentre})
 	return ok
 }
--- a/coordination/dispatch/stream.go
+++ b/coordination/dispatch/stream.go
@@ -132,9 +132,9 @@
 		return err
 	}
 	j.resumed, j.placementRequested = true, false
-	until, rejects := s.lastAt.Add(j.eventWait()), 0
+	until, rejections := s.lastAt.Add(j.eventWait()), 0
 	for {
-		r, err := s.chooseUntil(until, resumeInterval<<rejects)
+		r, err := s.chooseUntil(until, resumeInterval<<rejections)
 		if err != nil {
 			return err
 		}
@@ -150,7 +150,7 @@
 			err = j.handleError(s.ctx, r, err)
 		case reply.Info.NotRun:
 			_ = reply.Body.Close()
-			if rejects++; rejects < resumeRejections {
+			if rejections++; rejections < resumeRejections {
 				j.rejections = 0
 			}
 			err = j.handleRejection(r, reply)
--- a/coordination/dispatch/turn_test.go
+++ b/coordination/dispatch/turn_test.go
@@ -28,7 +28,8 @@
 }
 
 // A request that is delayed by pacing must not be sent to a runner that has begun to leave in
-// the meantime. Other changes in that time count too, and a request is delayed only once.
+// the meantime; otherwise a leaving runner could get it two seconds later. Other changes in that
+// time count too, and a request is delayed only once.
 func TestRunnerLeavesWhileARequestWaits(t *testing.T) {
 	cases := []struct {
 		name   string
--- a/coordination/dispatch/workspace_test.go
+++ b/coordination/dispatch/workspace_test.go
@@ -59,11 +59,11 @@
 
 // Units of a request that has not run must be returned to its workspace's allowance, and each
 // run beyond the first must be charged.
-func TestWhatRequestsTakeOfAllowances(t *testing.T) {
+func TestAllowanceUnitsOfRequests(t *testing.T) {
 	safe := route(core.KindSafe, false, 3)
 	for _, tt := range []struct {
 		name                     string
-		lets                     int
+		admits                   int
 		acts                     []act
 		status                   int // 0: served
 		taken, charged, refunded float64
@@ -75,7 +75,7 @@
 		{"run by two runners", 1, []act{losesAnswer}, 0, 10, 10, 0},
 		{"run by three", 1, []act{fails, losesAnswer}, 0, 10, 20, 0},
 	} {
-		d, a := newDispatcher(&fleet{nextAct: script(tt.acts...)}, 3), &fakeAllowance{admits: tt.lets}
+		d, a := newDispatcher(&fleet{nextAct: script(tt.acts...)}, 3), &fakeAllowance{admits: tt.admits}
 		d.catalog.SetConfig(configWithKey(2, "w"))
 		WithAllowance(a)(d)
 		e, err := callKeyed(d, safe)
--- a/coordination/policy/choose_test.go
+++ b/coordination/policy/choose_test.go
@@ -60,8 +60,8 @@
 		const ratio, slack = 0.2, 5.0
 		b := NewBudget(clock, 10*time.Second, func() float64 { return ratio }, func() float64 { return slack })
 		type event struct {
-			at     time.Time
-			repeat bool
+			at      time.Time
+			isRetry bool
 		}
 		var events []event
 		for range rapid.IntRange(0, 400).Draw(t, "steps") {
@@ -75,19 +75,19 @@
 		}
 		// Requests count in the current window or in the one before it.
 		for _, end := range events {
-			first, repeat := 0, 0
+			firstSends, retries := 0, 0
 			for _, e := range events {
 				age := end.at.Sub(e.at)
 				if age < 0 || age >= 20*time.Second {
 					continue
 				}
-				if !e.repeat {
-					first++
+				if !e.isRetry {
+					firstSends++
 				} else if age < 9*time.Second {
-					repeat++
+					retries++
 				}
 			}
-			assert.Assert(t, float64(repeat) <= ratio*float64(first)+slack, "%d retries of %d requests", repeat, first)
+			assert.Assert(t, float64(retries) <= ratio*float64(firstSends)+slack, "%d retries of %d requests", retries, firstSends)
 		}
 	})
 }
@@ -113,10 +113,10 @@
 func TestQueueLimitByTarget(t *testing.T) {
 	const length = 3 * time.Second
 	cases := []struct {
-		name     string
-		target   time.Duration
-		requests int // at a runner of 32 slots
-		room     bool
+		name        string
+		target      time.Duration
+		requests    int // at a runner of 32 slots
+		hasCapacity bool
 	}{
 		{"short target, a slot is free", 400 * time.Millisecond, 31, true},
 		{"short target, fourth in the queue", 400 * time.Millisecond, 35, true},
@@ -126,8 +126,8 @@
 	}
 	for _, one := range cases {
 		c := Candidate{Slots: 32, Requests: one.requests}
-		a := Requirements{Engine: true, QueueLimit: QueueLimit(one.target, length)}
-		assert.Equal(t, !c.Full(a), one.room, one.name)
+		req := Requirements{Engine: true, QueueLimit: QueueLimit(one.target, length)}
+		assert.Equal(t, !c.Full(req), one.hasCapacity, one.name)
 	}
 	assert.Equal(t, QueueLimit(time.Second, 0), maxQueue, "before any stream has ended")
 	assert.Assert(t, QueueLimit(time.Second, 8*time.Second) < QueueLimit(time.Second, 4*time.Second), "a slower runner has a shorter queue")
--- a/coordination/policy/pace_test.go
+++ b/coordination/policy/pace_test.go
@@ -39,9 +39,9 @@
 	)
 	overloads := func(paced bool) int {
 		rnd := rand.New(rand.NewPCG(3, 4))
-		paces := make([]*Pacer, daemons)
-		for i := range paces {
-			paces[i] = trainedPacer(speed)
+		pacers := make([]*Pacer, daemons)
+		for i := range pacers {
+			pacers[i] = trainedPacer(speed)
 		}
 		sent := make([][]sentPrompt, runners)
 		at := time.Unix(0, 0)
@@ -49,7 +49,7 @@
 			at = at.Add(time.Duration(rnd.ExpFloat64() / (35 * runners / 4) * float64(time.Second)))
 			preferred := rnd.IntN(runners) // the runner that all daemons consider least busy now
 			for range 4 {
-				p, tokens := paces[rnd.IntN(daemons)], 150+rnd.IntN(1100)
+				p, tokens := pacers[rnd.IntN(daemons)], 150+rnd.IntN(1100)
 				to, wait := preferred, time.Duration(0)
 				if paced {
 					candidates := make([]Candidate, runners)
--- a/coordination/policy/place_test.go
+++ b/coordination/policy/place_test.go
@@ -100,7 +100,8 @@
 }
 
 // workshopSizes are the models of a workshop service in megabytes. Two of the large ones
-// fill a runner of 83 GB: one replica of each takes 15 of 24 such halves.
+// fill a runner of 83 GB: one replica of each model takes 15 of the 24 halves of
+// twelve runners.
 var workshopSizes = []float64{
 	34300, 34300, 34300, 34300, 34300, 34300, 34300, 34300, 34300, 34300,
 	34300, 16100, 16100, 34300, 16100, 16100, 34300, 34300, 16100, 34300,
