--- a/coordination/roster/bench_test.go
+++ b/coordination/roster/bench_test.go
@@ -8,23 +8,24 @@
 	"primroseward/core"
 )
 
-// BenchmarkFleet tells what the daemons of a fleet cost each other: datagrams and bytes
-// that a daemon sends in a second, the most that one does, and the processor time that
-// all that is told in a second takes a daemon, which is the time of an operation.
+// BenchmarkFleet measures the cost of a fleet's messages: the datagrams and bytes that a
+// daemon sends per second, the most datagrams that any daemon sends, and the processor time
+// that a daemon spends on all messages of a second. One operation is a second of the whole
+// fleet.
 func BenchmarkFleet(b *testing.B) {
-	for _, c := range []struct{ daemons, places, runners int }{
+	for _, c := range []struct{ daemons, dataCentres, runners int }{
 		{30, 6, 21}, {100, 6, 70}, {300, 6, 210}, {1000, 10, 2700},
 	} {
 		b.Run(fmt.Sprintf("daemons=%d", c.daemons), func(b *testing.B) {
-			s := fleetOf(1, c.daemons, c.places)
+			s := newFleet(1, c.daemons, c.dataCentres)
 			s.run(5 * time.Second)
 			for _, n := range s.order {
-				n.word.Usage = map[core.Code]core.Usage{}
+				n.report.Usage = map[core.Code]core.Usage{}
 				for w := range 16 {
-					n.word.Usage[core.Code(w*104729)] = core.Usage{Asked: 100, Spent: 100, Left: 100}
+					n.report.Usage[core.Code(w*104729)] = core.Usage{Asked: 100, Spent: 100, Left: 100}
 				}
-				for range 24 { // 16 requests a second of a second and a half each
-					n.word.Loads[core.Code(s.rand.Intn(c.runners)*7919)]++
+				for range 24 { // 16 requests per second, 1.5 s each
+					n.report.Loads[core.Code(s.rand.Intn(c.runners)*7919)]++
 				}
 			}
 			s.run(time.Second)
@@ -37,14 +38,14 @@
 			for b.Loop() {
 				s.run(time.Second)
 			}
-			most := 0
+			highest := 0
 			for i, n := range s.order {
-				most = max(most, n.sent-before[i])
+				highest = max(highest, n.sent-before[i])
 			}
 			per := float64(b.N) * float64(c.daemons)
 			b.ReportMetric(float64(s.sent-sent)/per, "datagrams/s")
 			b.ReportMetric(float64(s.bytes-bytes)/per, "bytes/s")
-			b.ReportMetric(float64(most)/float64(b.N), "most-datagrams/s")
+			b.ReportMetric(float64(highest)/float64(b.N), "most-datagrams/s")
 			b.ReportMetric(float64(b.Elapsed().Nanoseconds())/per, "ns/daemon-s")
 		})
 	}
--- a/coordination/roster/group.go
+++ b/coordination/roster/group.go
@@ -11,97 +11,101 @@
 	"primroseward/core"
 )
 
-// groupsOf is how many groups a place of a size has: a power of two, so that it rarely
-// changes as daemons come and go.
-func groupsOf(size int) int { return 1 << bits.Len(uint((size-1)/groupSize)) }
+// groupCount returns the number of groups in a data centre with size daemons: a power of two,
+// so that it rarely changes as daemons come and go.
+func groupCount(size int) int { return 1 << bits.Len(uint((size-1)/groupSize)) }
 
-func keyOf(place string, code core.Code, groups int) groupKey {
-	return groupKey{place, int(code) & (groups - 1)}
+func groupKeyOf(dataCentre string, code core.Code, groups int) groupKey {
+	return groupKey{dataCentre, int(code) & (groups - 1)}
 }
 
-// allGroups returns the daemons of each group in the order in which they act as its hub.
+// allGroups returns the daemons of each group in the order in which they become its hub.
 func (r *Roster) allGroups() map[groupKey][]core.Code {
 	if r.groups != nil {
 		return r.groups
 	}
 	sizes := map[string]int{}
-	for _, k := range r.known {
+	for _, k := range r.daemons {
 		sizes[k.Place]++
 	}
 	r.groups = map[groupKey][]core.Code{}
-	for code, k := range r.known {
-		key := keyOf(k.Place, code, groupsOf(sizes[k.Place]))
+	for code, k := range r.daemons {
+		key := groupKeyOf(k.Place, code, groupCount(sizes[k.Place]))
 		r.groups[key] = append(r.groups[key], code)
 	}
-	r.own = keyOf(r.known[r.self].Place, r.self, groupsOf(sizes[r.known[r.self].Place]))
+	r.ownKey = groupKeyOf(r.daemons[r.self].Place, r.self, groupCount(sizes[r.daemons[r.self].Place]))
 	for _, codes := range r.groups {
 		slices.SortFunc(codes, func(a, b core.Code) int {
-			return cmp.Or(cmp.Compare(r.known[b].Cores, r.known[a].Cores), cmp.Compare(a, b))
+			return cmp.Or(cmp.Compare(r.daemons[b].Cores, r.daemons[a].Cores), cmp.Compare(a, b))
 		})
 	}
 	return r.groups
 }
 
-// mine are the daemons of this one's group, in order.
-func (r *Roster) mine() []core.Code {
+// ownMembers returns the daemons of this daemon's group, in order.
+func (r *Roster) ownMembers() []core.Code {
 	groups := r.allGroups()
-	return groups[r.own]
+	return groups[r.ownKey]
 }
 
-// heard says whether a daemon was heard as a hub lately, and stays.
-func (r *Roster) heard(now time.Time, code core.Code) bool {
-	return now.Sub(r.known[code].hub) < hubSilence && !r.leaves(now, code)
+// isReachableHub reports whether a daemon has sent summaries as the hub of this group within
+// hubTimeout and is not leaving.
+func (r *Roster) isReachableHub(now time.Time, code core.Code) bool {
+	return now.Sub(r.daemons[code].lastSeenAsHub) < hubTimeout && !r.isLeaving(now, code)
 }
 
-func (r *Roster) leaves(now time.Time, code core.Code) bool {
+func (r *Roster) isLeaving(now time.Time, code core.Code) bool {
 	s, ok := r.Status(now, code)
 	return ok && s.Leaving
 }
 
-// expected says whether a daemon may be a hub that could not be heard yet: while this one
-// has just started. Of a fleet that starts together only the first of each group acts.
-func (r *Roster) expected(now time.Time, code core.Code) bool {
-	k := r.known[code]
-	return k.since.Sub(r.started) < hubSilence && now.Sub(k.since) < hubSilence
+// mayBeHub reports whether a daemon may be a hub from which no message can have arrived yet,
+// as this one has just started. In a fleet that starts at once, this lets only the first daemon
+// of each group act as hub.
+func (r *Roster) mayBeHub(now time.Time, code core.Code) bool {
+	k := r.daemons[code]
+	return k.knownSince.Sub(r.started) < hubTimeout && now.Sub(k.knownSince) < hubTimeout
 }
 
-// acts says whether this daemon acts as the hub of its group: it hears none before it
-// or, where it leaves or has just started, none at all.
-func (r *Roster) acts(now time.Time) bool {
-	yields := r.word.Leaving || now.Sub(r.started) < loadLife
+// isHub reports whether this daemon acts as the hub of its group: no daemon before it in
+// the order is reachable as a hub or, if this one is leaving or has just started, no daemon of
+// the group at all.
+func (r *Roster) isHub(now time.Time) bool {
+	yields := r.ownReport.Leaving || now.Sub(r.started) < loadTTL
 	before := true
-	for _, code := range r.mine() {
+	for _, code := range r.ownMembers() {
 		switch {
 		case code == r.self && !yields:
 			return true
 		case code == r.self:
 			before = false
-		case r.heard(now, code), before && r.expected(now, code):
+		case r.isReachableHub(now, code), before && r.mayBeHub(now, code):
 			return false
 		}
 	}
 	return true
 }
 
-// hubs are the daemons that this one reports to: the group's hub, which is returned by
-// itself as well, and the one that comes after it. One before them that lives but has not
-// been heard is told now and then, as it may just have started and know nobody.
-func (r *Roster) hubs(now time.Time) (hub core.Code, out []core.Code) {
+// reportTargets returns the daemons that this one reports to: the hub of the group, which is
+// also returned separately, and the next daemon in order. Every probeTicks ticks the live
+// daemons before the hub that are not reachable as hubs are included, as they may just have
+// started and have no other daemon in their roster.
+func (r *Roster) reportTargets(now time.Time) (hub core.Code, out []core.Code) {
 	found := false
-	for _, code := range r.mine() {
+	for _, code := range r.ownMembers() {
 		switch {
 		case code == r.self:
 			if found {
-				return hub, out // comes after the hub itself
+				return hub, out // this daemon is itself the next one after the hub
 			}
-			found = r.acts(now)
-		case !found && (r.heard(now, code) || r.expected(now, code)):
+			found = r.isHub(now)
+		case !found && (r.isReachableHub(now, code) || r.mayBeHub(now, code)):
 			hub, out, found = code, append(out, code), true
 		case found:
 			if s, ok := r.Status(now, code); ok && !s.Leaving {
 				return hub, append(out, code)
 			}
-		case r.turn%lonelyTurns == 0:
+		case r.tickCount%probeTicks == 0:
 			if _, ok := r.Status(now, code); ok {
 				out = append(out, code)
 			}
@@ -110,12 +114,12 @@
 	return hub, out
 }
 
-// Contacts are daemons that one that has just started tells of itself: the first of each
-// group, one of which is likely to be its hub.
+// Contacts returns the daemons to which a newly started one announces itself: the first ones
+// of each group, one of which is likely to be the hub.
 func (r *Roster) Contacts() []core.Code {
 	var out []core.Code
 	for _, codes := range r.allGroups() {
-		for _, code := range codes[:min(len(codes), contacts)] {
+		for _, code := range codes[:min(len(codes), contactsPerGroup)] {
 			if code != r.self {
 				out = append(out, code)
 			}
@@ -124,10 +128,11 @@
 	return out
 }
 
-// search are three daemons of a group whose hub is not heard: two in order, and one
-// drawn, as the first may all be gone. One that is no hub passes the digest on.
-func (r *Roster) search(codes []core.Code) []core.Code {
-	at := r.turn / searchTurns * 2 % len(codes)
+// searchTargets returns three daemons of a group whose hub is not reachable: two in order, and
+// a random one, as the first ones may all be gone. A daemon that is not a hub forwards the
+// summary to its hub.
+func (r *Roster) searchTargets(codes []core.Code) []core.Code {
+	at := r.tickCount / searchTicks * 2 % len(codes)
 	out := []core.Code{codes[at]}
 	if next := codes[(at+1)%len(codes)]; next != codes[at] {
 		out = append(out, next)
@@ -135,25 +140,26 @@
 	return append(out, codes[rand.IntN(len(codes))])
 }
 
-// Hubs are the hubs that are heard, without this daemon: each of another group, or this
-// group's where another daemon acts as it.
+// Hubs returns the hubs other than this daemon from which a state younger than hubForwardTTL is
+// known: those of the other groups, and that of this group if another daemon acts as it.
 func (r *Roster) Hubs(now time.Time) []core.Code {
 	var out []core.Code
-	for hub, p := range r.parts {
-		if hub != r.self && now.Sub(p.at) < hubLife {
+	for hub, g := range r.groupStates {
+		if hub != r.self && now.Sub(g.sentAt) < hubForwardTTL {
 			out = append(out, hub)
 		}
 	}
 	return out
 }
 
-// Group are the daemons that report to this one, if it acts as their hub.
+// Group returns the daemons that report to this one if it acts as their hub, or nil.
 func (r *Roster) Group(now time.Time) []core.Code {
-	if !r.acts(now) {
+	if !r.isHub(now) {
 		return nil
 	}
 	return slices.Collect(maps.Keys(r.reports))
 }
 
-// Acts says whether this daemon acts as the hub of its group, and how many report to it.
-func (r *Roster) Acts(now time.Time) (acts bool, reports int) { return r.acts(now), len(r.reports) }
+// Acts reports whether this daemon acts as the hub of its group, and how many daemons report
+// to it.
+func (r *Roster) Acts(now time.Time) (acts bool, reports int) { return r.isHub(now), len(r.reports) }
--- a/coordination/roster/roster.go
+++ b/coordination/roster/roster.go
@@ -1,17 +1,19 @@
-// Package roster lets the daemons of a large fleet know who serves, what each knows of
-// the store and how many requests each runner has from all of them. Told by each to
-// each, this costs a daemon as much as the fleet is large: with 295 daemons 300
-// datagrams a second each way. Here the daemons of a place form groups; each reports
-// to its group's hub, which tells the sum to the other hubs, and what these have told to
-// its group. A daemon then sends and gets some ten datagrams a second, however many
-// there are.
+// Package roster distributes the state of the daemons of a large fleet among them: which
+// ones are ready, which changes of the store each has, and how many requests each runner
+// is processing for all of them. If every daemon sent this to every other one, the cost per
+// daemon would grow with the fleet: with 295 daemons, 300 datagrams a second in each
+// direction. Instead, the daemons of a data centre form groups. Each daemon reports to the
+// hub of its group, which sends a summary of the reports to the other hubs, and sends the
+// summaries that it receives from these to its group. A daemon then sends and receives
+// about ten datagrams a second, whatever the size of the fleet.
 //
-// Nobody elects a hub: the first live daemon of a group, in an order that all agree on,
-// acts as one. The second gets the same reports and takes over when it hears the first
-// no more. A daemon that hears no hub acts as one for itself, so that two that disagree
-// cost some datagrams and nothing else.
+// Hubs are not elected. All daemons sort the members of a group alike, and the first live
+// one acts as the hub. The second one receives the same reports and takes over when it
+// receives no more messages from the first. A daemon that receives messages from no hub
+// acts as one itself, so a disagreement about the hub costs some datagrams and has no other
+// effect.
 //
-// A Roster has no network and no clock of its own.
+// A Roster does no network I/O and reads no clock.
 package roster
 
 import (
@@ -23,107 +25,112 @@
 )
 
 const (
-	// TellEvery is how often a daemon reports to its hubs, and a hub tells its group
-	// and the hubs of its place. Requests are sent by loads as old as three of these.
+	// TellEvery is the interval at which a daemon reports to its hubs, and a hub sends
+	// summaries to its group and to the hubs of its data centre. Requests are routed by
+	// loads up to three intervals old.
 	TellEvery = 200 * time.Millisecond
-	// farTurns is how many turns lie between two digests to hubs of other places: the
-	// traffic between places is paid for.
-	farTurns = 2
-	// groupSize bounds a group: its hub takes 320 reports a second and sends as many
-	// digests, a few per cent of a small machine's core.
+	// remoteTicks is the number of ticks from one summary to hubs of other data centres to
+	// the next one: traffic between data centres is charged for.
+	remoteTicks = 2
+	// groupSize bounds the daemons of a group: its hub receives 320 reports a second and
+	// sends as many summaries, which takes a few per cent of one core of a small VM.
 	groupSize = 64
-	// hubSilence is how long a daemon trusts a hub without a word from it: three
+	// hubTimeout is how long a hub counts as reachable after its last message: three
 	// datagrams may be lost.
-	hubSilence = 700 * time.Millisecond
-	// memberSilence is how long a hub counts a daemon as alive without a report: a small
-	// VM that serves a burst may not get to run for a second.
-	memberSilence = 1500 * time.Millisecond
-	// partLife is how long a hub's word of its group holds at others: longer than the
-	// next daemon needs to take over from a hub that has ended, so that no group is
-	// missed with its hub.
-	partLife = 2 * time.Second
-	// loadLife is how long a hub's sum of loads counts: the one that takes over tells
-	// the same loads.
-	loadLife = time.Second
-	// hubLife is how long a hub is told what it is to pass on after its last word: two
-	// of the digests that go to another place may be lost, and the one that takes over
-	// is told as well.
-	hubLife = 3 * farTurns * TellEvery
-	// urgentEvery is the least time between two digests out of turn, for what others
-	// must know soon: that a daemon is ready, leaves, holds the lease, or knows of a
-	// change of the store.
-	urgentEvery = 100 * time.Millisecond
-	// repeats is how often a changed list of members is told, as datagrams get lost.
-	repeats = 3
-	// lonelyTurns is how often a hub tells daemons of its group that do not report to
-	// it: they have just started, or follow another hub.
-	lonelyTurns = 5
-	// searchTurns is how long a hub tries to find another group's by one pair of
-	// daemons before it tries the next pair.
-	searchTurns = 5
-	// contacts is how many daemons of each group a new one tells of itself: the hub
-	// and the one after it.
-	contacts = 2
-	// maxUnknown bounds the daemons that are asked for at a time, so that the answer
-	// is one packet.
+	hubTimeout = 700 * time.Millisecond
+	// reportTimeout is how long a hub counts a daemon as alive after its last report: on a
+	// small VM that serves a burst of requests, the process may not run for a second.
+	reportTimeout = 1500 * time.Millisecond
+	// groupStateTTL is how long other daemons use the state of a group that a hub has sent.
+	// It exceeds the time that the next daemon needs to take over from a hub that has
+	// exited, so that the members of the group do not count as gone together with the hub.
+	groupStateTTL = 2 * time.Second
+	// loadTTL is how long the sum of loads that a hub has sent counts. It is limited as the
+	// daemon that takes over from the hub sends the same loads, and both sums would count.
+	loadTTL = time.Second
+	// hubForwardTTL is how long after its last message a hub is still sent what it has to
+	// forward: two of the summaries to another data centre may be lost, and the daemon that
+	// takes over from it is sent the same.
+	hubForwardTTL = 3 * remoteTicks * TellEvery
+	// minUrgentInterval is the least time between two rounds of urgent summaries. They are
+	// sent between ticks when a daemon becomes ready, leaves, acquires the lease of orders,
+	// or has a change of the store that its group did not have.
+	minUrgentInterval = 100 * time.Millisecond
+	// changeSends is how many summaries carry a changed member list or group state, as
+	// datagrams get lost.
+	changeSends = 3
+	// probeTicks is the number of ticks between two summaries of a hub to those daemons of
+	// its group that do not report to it: they have just started, or follow another hub. It
+	// is also the number from one report to the next to daemons that precede the hub in
+	// order and do not act as one.
+	probeTicks = 5
+	// searchTicks is the number of ticks for which a hub sends to the same pair of daemons
+	// to find the hub of another group, before it tries the next pair.
+	searchTicks = 5
+	// contactsPerGroup is how many daemons of each group a new daemon announces itself to:
+	// the hub and the next one in order.
+	contactsPerGroup = 2
+	// maxUnknown bounds the unknown daemons that are looked up at a time, so that the reply
+	// fits into one packet.
 	maxUnknown = 4
-	// maxPacket is how long a datagram may be, in bytes: longer ones are sent in pieces
-	// by the network, and with any of them all is lost.
+	// maxPacket is the largest size of a datagram, in bytes: the network fragments larger
+	// ones, and the loss of one fragment loses the whole datagram.
 	maxPacket = 1300
-	// partsPerTurn is how many groups a hub tells its own of in a turn, beside those
-	// of which there is news: of 80, each once a second.
-	partsPerTurn = 16
-	// hubChunks is how many chunks of its loads a hub tells the others in a turn.
-	hubChunks = 2
-	// maxChunk bounds the runners of one message, five or six bytes each.
-	maxChunk = 150
-	// maxUsage bounds the workspaces of one message, sixteen bytes each.
-	maxUsage = 70
-	// stalled is the time between two turns from which this daemon, not the others, was
-	// the one that stood still.
-	stalled = 2 * TellEvery
+	// groupsPerTick is how many groups a hub includes in the summary to its own group at
+	// each tick, besides those that have changed: of 80 groups, each is sent once a second.
+	groupsPerTick = 16
+	// hubChunksPerTick is how many chunks each of its loads and of its usage a hub sends to
+	// the other hubs per tick.
+	hubChunksPerTick = 2
+	// maxChunkRunners bounds the runners of one message; each takes five or six bytes.
+	maxChunkRunners = 150
+	// maxChunkWorkspaces bounds the workspaces of one message; each takes sixteen bytes.
+	maxChunkWorkspaces = 70
+	// pauseThreshold is the time between two ticks from which this daemon's process is
+	// taken to have been paused, instead of the other daemons to have been silent.
+	pauseThreshold = 2 * TellEvery
 )
 
-// Daemon is what does not change of a daemon while its process lives.
+// Daemon holds the properties of a daemon that do not change while its process lives.
 type Daemon struct {
 	Name  string
 	Place string
-	Boot  uint64  // later processes have larger ones
-	Tag   uint8   // of its addresses
-	Cores float64 // of a processor that it may use; those with more act as hubs first
+	Boot  uint64  // larger in later processes of the same daemon
+	Tag   uint8   // identifies its addresses: it changes with them
+	Cores float64 // of a processor that it may use; daemons with more become hubs first
 }
 
-// Status is what a daemon last told of itself, as far as it is passed on.
+// Status is the state that a daemon last reported, as far as hubs forward it.
 type Status struct {
-	Ready, Failing, Leaving, Fresh bool
-	Term                           uint64        // of the lease of orders, while it is held
-	Settings                       uint64        // the last change of the settings that it knows
-	Confirmed                      time.Duration // since the settings were known to be the newest in its group; below 0: never
+	Ready, Failing, Leaving, Fresh bool          // Failing: does not reach the store. Fresh: has renewed the lease recently.
+	Term                           uint64        // of the lease of orders, 0 if the daemon does not hold it
+	Settings                       uint64        // the last change of the settings that it has
+	Confirmed                      time.Duration // time since the settings of its group were confirmed as the newest; below 0: never
 }
 
-// Word is what a daemon tells of itself.
+// Word is what a daemon reports about itself.
 type Word struct {
 	Status
-	Knows core.Changes
-	Down  []core.Code              // runners that have refused its connections lately
+	Knows core.Changes             // the last changes of the store that it has
+	Down  []core.Code              // runners that have refused its connections recently
 	Loads map[core.Code]int        // its requests in progress by runner
 	Usage map[core.Code]core.Usage // of its own callers, by workspace
 }
 
-// Message is a datagram to another daemon.
+// Message is a datagram to send to another daemon.
 type Message struct {
 	To   core.Code
-	Kind string // for the counts
+	Kind string // label in the counts of datagrams
 	Data []byte
 }
 
-// Kinds of messages.
+// Values of Message.Kind.
 const (
-	KindReport = "report"
-	KindDigest = "digest"
+	KindReport  = "report"
+	KindSummary = "digest"
 )
 
-// News is what a hub has told of its group beyond its members' states.
+// News is what a hub has sent about its group, apart from the states of the members.
 type News struct {
 	Place     string
 	Sources   Sources
@@ -132,54 +139,55 @@
 	Down      []core.Code
 }
 
-// Sources are daemons that know the last change of each kind, 0: none is told of. One that
-// has a newer configuration may lack a change of the runners.
+// Sources names a daemon that has the last change, for each kind of change; 0 if no change
+// is known. They may differ: a daemon with a newer configuration may lack a change of the
+// runners.
 type Sources struct{ Config, Runners, Settings core.Code }
 
 type groupKey struct {
-	place string
-	index int
+	dataCentre string
+	index      int
 }
 
-// daemon is another daemon, or this one.
+// daemon is an entry of the roster: another daemon, or this one.
 type daemon struct {
 	Daemon
-	hub   time.Time // when it was last heard as a hub
-	since time.Time // when it became known
+	lastSeenAsHub time.Time // time of its last summary as the hub of this group
+	knownSince    time.Time // time at which it was added
 }
 
-// report is a daemon's word as its hub keeps it.
-type report struct {
+// receivedReport is the last report of a daemon, as its hub keeps it.
+type receivedReport struct {
 	Word
-	at    time.Time
-	spare bool // the daemon follows another hub
+	receivedAt time.Time
+	standby    bool // the daemon follows another hub, and this one only stands by
 }
 
-// part is what a hub has told of its group.
-type part struct {
-	hub       core.Code
-	at        time.Time
-	version   uint64 // of the members as last told
-	members   map[core.Code]member
-	held      uint64 // version of members
-	fresh     int    // digests that are still to carry the members
-	due       int    // digests that are still to carry the part, out of its turn
-	knows     core.Changes
-	sources   Sources
-	confirmed time.Duration
-	touch     int // members that are in touch with the hub, itself included
-	down      []core.Code
-	claims    map[core.Code]claim
-	loads     map[core.Code]int        // known to hubs only
-	loadsAt   time.Time                // zero: not told yet
-	usage     map[core.Code]core.Usage // of the group by workspace; known to hubs only
-	usageAt   time.Time                // zero: not told yet
+// groupState is the state of a group as its hub last sent it.
+type groupState struct {
+	hub             core.Code
+	sentAt          time.Time
+	version         uint64 // hash of the members as last sent
+	members         map[core.Code]member
+	membersVersion  uint64 // version that members belongs to
+	memberSendsLeft int    // summaries that still have to carry the members
+	sendsLeft       int    // summaries that still have to carry this state outside its rotation
+	changes         core.Changes
+	sources         Sources
+	confirmed       time.Duration
+	reachable       int         // members with a recent report, including the hub itself
+	refusingRunners []core.Code // runners that have refused connections recently
+	claims          map[core.Code]claim
+	loads           map[core.Code]int        // known to hubs only
+	loadsAt         time.Time                // zero: not received yet
+	usage           map[core.Code]core.Usage // of the group by workspace; known to hubs only
+	usageAt         time.Time                // zero: not received yet
 }
 
 type member struct {
-	tag   uint8
-	flags rosterv1.Flag
-	lag   uint64
+	addressTag  uint8
+	flags       rosterv1.Flag
+	settingsLag uint64
 }
 
 type claim struct {
@@ -189,89 +197,89 @@
 
 // Roster is one daemon's view of the fleet.
 type Roster struct {
-	self    core.Code
-	started time.Time
-	known   map[core.Code]*daemon    // this one, too
-	groups  map[groupKey][]core.Code // nil: to be made
-	own     groupKey                 // the group of this daemon
-	word    Word
-	told    map[core.Code]int // loads of the last report
-	reports map[core.Code]*report
-	parts   map[core.Code]*part      // by hub; this one's while it acts
-	total   map[core.Code]int        // loads of the place as last told
-	usage   map[core.Code]core.Usage // of the fleet by workspace, as last told
-	usageAt time.Time
-	used    map[core.Code]core.Usage // as this daemon told it last
-	unknown map[core.Code]core.Code  // hubs that are not known, and the hub that named them
-	turn    int
-	urgent  time.Time // of the last digest out of turn
-	acting  time.Time // since when this daemon acts as a hub, zero if it does not
-	ticked  time.Time // the last turn
+	self          core.Code
+	started       time.Time
+	daemons       map[core.Code]*daemon    // includes this one
+	groups        map[groupKey][]core.Code // nil: to be rebuilt
+	ownKey        groupKey                 // the group of this daemon
+	ownReport     Word
+	reportedLoads map[core.Code]int // loads of the last report
+	reports       map[core.Code]*receivedReport
+	groupStates   map[core.Code]*groupState // by hub; includes this daemon's own while it acts as one
+	totalLoads    map[core.Code]int         // loads of the data centre, as last received or summed up
+	totalUsage    map[core.Code]core.Usage  // of the fleet by workspace, as last received or summed up
+	totalUsageAt  time.Time
+	reportedUsage map[core.Code]core.Usage // usage of the last report
+	unknownHubs   map[core.Code]core.Code  // hubs that are not known here, and the hub that named each
+	tickCount     int
+	lastUrgent    time.Time // time of the last urgent summaries
+	actingSince   time.Time // when this daemon began to act as a hub, zero if it does not
+	lastTick      time.Time // time of the last tick
 }
 
-// New returns the roster of a daemon that knows nobody.
+// New returns a roster that contains only the daemon itself.
 func New(now time.Time, self Daemon) *Roster {
 	code := core.CodeOf(self.Name)
 	return &Roster{
-		self: code, started: now, turn: -1, known: map[core.Code]*daemon{code: {Daemon: self}}, reports: map[core.Code]*report{},
-		parts: map[core.Code]*part{}, unknown: map[core.Code]core.Code{},
+		self: code, started: now, tickCount: -1, daemons: map[core.Code]*daemon{code: {Daemon: self}}, reports: map[core.Code]*receivedReport{},
+		groupStates: map[core.Code]*groupState{}, unknownHubs: map[core.Code]core.Code{},
 	}
 }
 
-// Know takes in a daemon, or what has changed of one. While this one has just started
-// each that it knows may be its hub: of a fleet that starts together only the first of
-// each group acts as one.
+// Know adds a daemon, or updates one that has changed. Each daemon added shortly after this
+// one has started may be its hub (see mayBeHub): when a fleet starts at once, only the first
+// daemon of each group acts as one.
 func (r *Roster) Know(now time.Time, d Daemon) {
 	code := core.CodeOf(d.Name)
-	delete(r.unknown, code)
-	if k, ok := r.known[code]; ok {
+	delete(r.unknownHubs, code)
+	if k, ok := r.daemons[code]; ok {
 		if k.Place != d.Place || k.Cores != d.Cores {
 			r.groups = nil
 		}
 		k.Daemon = d
 		return
 	}
-	r.known[code] = &daemon{Daemon: d, since: now}
+	r.daemons[code] = &daemon{Daemon: d, knownSince: now}
 	r.groups = nil
 }
 
-// Forget drops a daemon that is gone.
+// Forget removes a daemon that is gone.
 func (r *Roster) Forget(name string) {
 	code := core.CodeOf(name)
-	delete(r.known, code)
+	delete(r.daemons, code)
 	delete(r.reports, code)
 	r.groups = nil
 }
 
-// Unknown returns daemons that hubs have named and that are not known here, and the
-// daemon to be asked for them.
-func (r *Roster) Unknown(now time.Time) (ask core.Code, codes []core.Code) {
-	note := func(from, code core.Code) {
-		if len(codes) == 0 || from == ask && len(codes) < maxUnknown {
-			ask, codes = from, append(codes, code)
+// Unknown returns daemons that hubs have named and that are not known here, and the daemon
+// to look them up at.
+func (r *Roster) Unknown(now time.Time) (source core.Code, codes []core.Code) {
+	add := func(from, code core.Code) {
+		if len(codes) == 0 || from == source && len(codes) < maxUnknown {
+			source, codes = from, append(codes, code)
 		}
 	}
-	for code, from := range r.unknown {
-		note(from, code)
+	for code, from := range r.unknownHubs {
+		add(from, code)
 	}
-	clear(r.unknown)
-	_, hubs := r.hubs(now)
-	direct := len(hubs) == 0 || r.acts(now)
-	r.strangers(now, func(hub, code core.Code) bool {
+	clear(r.unknownHubs)
+	_, hubs := r.reportTargets(now)
+	direct := len(hubs) == 0 || r.isHub(now)
+	r.eachUnknownMember(now, func(hub, code core.Code) bool {
 		if !direct {
 			hub = hubs[0]
 		}
-		note(hub, code)
+		add(hub, code)
 		return true
 	})
-	return ask, codes
+	return source, codes
 }
 
-// HasUnknown says whether hubs have named daemons that are not known here.
+// HasUnknown reports whether hubs have named daemons that are not known here.
 func (r *Roster) HasUnknown(now time.Time) bool {
-	found := len(r.unknown) > 0
+	found := len(r.unknownHubs) > 0
 	if !found {
-		r.strangers(now, func(core.Code, core.Code) bool {
+		r.eachUnknownMember(now, func(core.Code, core.Code) bool {
 			found = true
 			return false
 		})
@@ -279,126 +287,129 @@
 	return found
 }
 
-// strangers goes through the members that are not known, with the hub that names each,
-// while fn returns true.
-func (r *Roster) strangers(now time.Time, fn func(hub, code core.Code) bool) {
-	for _, p := range r.live(now) {
-		for code, m := range p.members {
-			if r.strange(code, m) && !fn(p.hub, code) {
+// eachUnknownMember calls fn for each member that is not known here, with the hub that named
+// it, until fn returns false.
+func (r *Roster) eachUnknownMember(now time.Time, fn func(hub, code core.Code) bool) {
+	for _, g := range r.liveStates(now) {
+		for code, m := range g.members {
+			if r.isUnknown(code, m) && !fn(g.hub, code) {
 				return
 			}
 		}
 	}
 }
 
-// strange says whether a member is not known, or has other addresses than are known.
-func (r *Roster) strange(code core.Code, m member) bool {
-	k, ok := r.known[code]
-	return !ok || k.Tag != m.tag && code != r.self
+// isUnknown reports whether a member is not known here, or is known with other addresses.
+func (r *Roster) isUnknown(code core.Code, m member) bool {
+	k, ok := r.daemons[code]
+	return !ok || k.Tag != m.addressTag && code != r.self
 }
 
-// Others are the requests in progress at each runner from the other daemons of the place.
+// Others returns the number of requests in progress at each runner from the other daemons of
+// the data centre.
 func (r *Roster) Others() map[core.Code]int {
-	out := make(map[core.Code]int, len(r.total))
-	for code, n := range r.total {
-		if n -= r.told[code]; n > 0 {
+	out := make(map[core.Code]int, len(r.totalLoads))
+	for code, n := range r.totalLoads {
+		if n -= r.reportedLoads[code]; n > 0 {
 			out[code] = n
 		}
 	}
 	return out
 }
 
-// Usage is that of the other daemons by workspace. What is left is as the hub thinks, or
-// as the other hubs do where this daemon acts as one.
+// Usage returns the usage of the other daemons by workspace. Left is the value that the hub
+// sent or, where this daemon acts as the hub, the mean of the values of all hubs.
 func (r *Roster) Usage(now time.Time) map[core.Code]core.Usage {
-	if now.Sub(r.usageAt) >= partLife {
+	if now.Sub(r.totalUsageAt) >= groupStateTTL {
 		return nil
 	}
-	out := make(map[core.Code]core.Usage, len(r.usage))
-	for code, u := range r.usage {
-		own := r.used[code]
+	out := make(map[core.Code]core.Usage, len(r.totalUsage))
+	for code, u := range r.totalUsage {
+		own := r.reportedUsage[code]
 		u.Asked, u.Spent = max(0, u.Asked-own.Asked), max(0, u.Spent-own.Spent)
 		out[code] = u
 	}
 	return out
 }
 
-// Tick takes in what this daemon tells of itself, and returns what is to be sent each
+// Tick stores this daemon's report and returns the messages to send. It is called once per
 // TellEvery.
-func (r *Roster) Tick(now time.Time, word Word) []Message {
-	r.turn++
-	r.word = word
-	r.excuse(now)
+func (r *Roster) Tick(now time.Time, report Word) []Message {
+	r.tickCount++
+	r.ownReport = report
+	r.compensatePause(now)
 	r.expire(now)
-	out := r.report(now)
-	if r.acts(now) {
-		return append(out, r.digests(now, r.turn)...)
+	out := r.makeReports(now)
+	if r.isHub(now) {
+		return append(out, r.makeSummaries(now, r.tickCount)...)
 	}
-	r.acting = time.Time{}
-	delete(r.parts, r.self) // another hub tells of the group now
+	r.actingSince = time.Time{}
+	delete(r.groupStates, r.self) // another hub sends the state of the group now
 	return out
 }
 
-// Nudge takes in what this daemon tells of itself now, and returns what is to be sent at
+// Nudge stores this daemon's report between two ticks and returns the messages to send at
 // once.
-func (r *Roster) Nudge(now time.Time, word Word) []Message {
-	r.word = word
-	out := r.report(now)
-	return append(out, r.outOfTurn(now)...)
+func (r *Roster) Nudge(now time.Time, report Word) []Message {
+	r.ownReport = report
+	out := r.makeReports(now)
+	return append(out, r.urgentSummaries(now)...)
 }
 
-// outOfTurn returns digests for what must be known soon.
-func (r *Roster) outOfTurn(now time.Time) []Message {
-	if !r.acts(now) || now.Sub(r.urgent) < urgentEvery {
+// urgentSummaries returns the summaries to send before the next tick, if this daemon acts as
+// a hub and the last ones are at least minUrgentInterval old.
+func (r *Roster) urgentSummaries(now time.Time) []Message {
+	if !r.isHub(now) || now.Sub(r.lastUrgent) < minUrgentInterval {
 		return nil
 	}
-	r.urgent = now
-	return r.digests(now, 0)
+	r.lastUrgent = now
+	return r.makeSummaries(now, 0)
 }
 
-// excuse makes what was heard before a time in which this daemon stood still as young as
-// it was then. What came meanwhile is still to be read: a small VM that had no turn for
-// two seconds would miss all others.
-func (r *Roster) excuse(now time.Time) {
-	gap := now.Sub(r.ticked) - TellEvery
-	was := r.ticked
-	r.ticked = now
-	if was.IsZero() || gap < stalled-TellEvery {
+// compensatePause shifts the times of what was received before a pause of this process by
+// the length of the pause. Datagrams that arrived during the pause have not been read yet, so
+// without the shift a small VM whose process has not run for two seconds would consider all
+// other daemons gone.
+func (r *Roster) compensatePause(now time.Time) {
+	pause := now.Sub(r.lastTick) - TellEvery
+	previous := r.lastTick
+	r.lastTick = now
+	if previous.IsZero() || pause < pauseThreshold-TellEvery {
 		return
 	}
-	younger := func(at time.Time) time.Time {
-		if at = at.Add(gap); at.After(now) {
-			return now // was heard after it
+	shift := func(at time.Time) time.Time {
+		if at = at.Add(pause); at.After(now) {
+			return now // was received after the pause
 		}
 		return at
 	}
-	for _, one := range r.reports {
-		one.at = younger(one.at)
+	for _, report := range r.reports {
+		report.receivedAt = shift(report.receivedAt)
 	}
-	for _, p := range r.parts {
-		p.at = younger(p.at)
-		if !p.loadsAt.IsZero() {
-			p.loadsAt = younger(p.loadsAt)
+	for _, g := range r.groupStates {
+		g.sentAt = shift(g.sentAt)
+		if !g.loadsAt.IsZero() {
+			g.loadsAt = shift(g.loadsAt)
 		}
 	}
-	for _, k := range r.known {
-		k.hub = younger(k.hub)
+	for _, k := range r.daemons {
+		k.lastSeenAsHub = shift(k.lastSeenAsHub)
 	}
 }
 
-// expire drops reports and parts that nobody has renewed.
+// expire drops reports and group states that have not been renewed.
 func (r *Roster) expire(now time.Time) {
-	maps.DeleteFunc(r.reports, func(_ core.Code, one *report) bool { return now.Sub(one.at) >= memberSilence })
-	for hub, p := range r.parts {
-		if now.Sub(p.at) >= partLife {
-			delete(r.parts, hub)
+	maps.DeleteFunc(r.reports, func(_ core.Code, report *receivedReport) bool { return now.Sub(report.receivedAt) >= reportTimeout })
+	for hub, g := range r.groupStates {
+		if now.Sub(g.sentAt) >= groupStateTTL {
+			delete(r.groupStates, hub)
 		}
 	}
 }
 
-// Name is the name of a daemon that is known, or empty.
+// Name returns the name of a daemon, or an empty string if it is not known.
 func (r *Roster) Name(code core.Code) string {
-	k, ok := r.known[code]
+	k, ok := r.daemons[code]
 	if !ok {
 		return ""
 	}
--- a/coordination/roster/sim_test.go
+++ b/coordination/roster/sim_test.go
@@ -10,44 +10,44 @@
 	"primroseward/core"
 )
 
-// sim is a fleet on a simulated network: one goroutine, virtual time, the same each
-// time for a seed.
+// sim is a fleet on a simulated network, with one goroutine and in virtual time. A seed gives
+// the same run each time.
 type sim struct {
-	rand    *rand.Rand
-	now     time.Time
-	begin   time.Time
-	nodes   map[core.Code]*node
-	order   []*node
-	queue   queue
-	number  int
-	loss    float64
-	delay   time.Duration
-	cut     func(from, to core.Code) bool
-	sent    int // datagrams
-	bytes   int
-	far     int // bytes between places
-	biggest int // of a datagram
-}
-
-// packet is what the network carries in one piece.
-const packet = 1472
-
-// node is one daemon.
+	rand         *rand.Rand
+	now          time.Time
+	start        time.Time
+	nodes        map[core.Code]*node
+	order        []*node
+	queue        queue
+	eventCount   int
+	loss         float64
+	delay        time.Duration
+	disconnected func(from, to core.Code) bool
+	sent         int // datagrams
+	bytes        int
+	remoteBytes  int // between data centres
+	maxDatagram  int // size of the largest datagram, in bytes
+}
+
+// maxUDPPayload is the largest payload that the network carries unfragmented, in bytes.
+const maxUDPPayload = 1472
+
+// node is one daemon of the simulation.
 type node struct {
 	Daemon
-	code   core.Code
-	roster *Roster
-	word   Word
-	up     bool
-	sent   int
-	asking bool
+	code          core.Code
+	roster        *Roster
+	report        Word
+	up            bool
+	sent          int
+	lookupPending bool
 }
 
-// event is something that happens at a time.
+// event is a function that runs at a time.
 type event struct {
-	at     time.Time
-	number int
-	do     func()
+	at       time.Time
+	sequence int
+	fn       func()
 }
 
 type queue []event
@@ -55,7 +55,7 @@
 func (q queue) Len() int { return len(q) }
 func (q queue) Less(i, k int) bool {
 	if q[i].at.Equal(q[k].at) {
-		return q[i].number < q[k].number
+		return q[i].sequence < q[k].sequence
 	}
 	return q[i].at.Before(q[k].at)
 }
@@ -69,45 +69,46 @@
 }
 
 func newSim(seed int64) *sim {
-	begin := time.Unix(1e9, 0)
+	start := time.Unix(1e9, 0)
 	return &sim{
-		rand: rand.New(rand.NewSource(seed)), now: begin, begin: begin, nodes: map[core.Code]*node{},
-		delay: time.Millisecond, cut: func(core.Code, core.Code) bool { return false },
+		rand: rand.New(rand.NewSource(seed)), now: start, start: start, nodes: map[core.Code]*node{},
+		delay: time.Millisecond, disconnected: func(core.Code, core.Code) bool { return false },
 	}
 }
 
-// fleetOf starts daemons in places within 300 ms of each other; each has listed those
-// that came before it.
-func fleetOf(seed int64, daemons, places int) *sim {
+// newFleet starts daemons in a number of data centres, within 300 ms of each other. Each daemon
+// starts with those before it in its roster.
+func newFleet(seed int64, daemons, dataCentres int) *sim {
 	s := newSim(seed)
 	for i := range daemons {
-		s.after(time.Duration(s.rand.Int63n(int64(300*time.Millisecond))), func() {
-			s.join(fmt.Sprintf("vm-%d", i), fmt.Sprintf("place-%d", i%places))
+		s.schedule(time.Duration(s.rand.Int63n(int64(300*time.Millisecond))), func() {
+			s.startDaemon(fmt.Sprintf("vm-%d", i), fmt.Sprintf("dc-%d", i%dataCentres))
 		})
 	}
 	return s
 }
 
-func (s *sim) after(d time.Duration, do func()) {
-	s.number++
-	heap.Push(&s.queue, event{s.now.Add(d), s.number, do})
+func (s *sim) schedule(d time.Duration, fn func()) {
+	s.eventCount++
+	heap.Push(&s.queue, event{s.now.Add(d), s.eventCount, fn})
 }
 
-// run lets time pass.
+// run advances the time by d.
 func (s *sim) run(d time.Duration) {
 	end := s.now.Add(d)
 	for len(s.queue) > 0 && !s.queue[0].at.After(end) {
 		e := heap.Pop(&s.queue).(event)
 		s.now = e.at
-		e.do()
+		e.fn()
 	}
 	s.now = end
 }
 
-// join starts a daemon, which knows all that have ever started, as from the store.
-func (s *sim) join(name, place string) *node {
-	n := &node{Daemon: Daemon{Name: name, Place: place, Boot: uint64(s.now.UnixNano())}, code: core.CodeOf(name), up: true}
-	n.word = Word{Status: Status{Ready: true}, Loads: map[core.Code]int{1: 1}}
+// startDaemon starts a daemon whose roster contains all that have ever started, as if read from
+// the store.
+func (s *sim) startDaemon(name, dataCentre string) *node {
+	n := &node{Daemon: Daemon{Name: name, Place: dataCentre, Boot: uint64(s.now.UnixNano())}, code: core.CodeOf(name), up: true}
+	n.report = Word{Status: Status{Ready: true}, Loads: map[core.Code]int{1: 1}}
 	if s.nodes[n.code] == nil {
 		s.order = append(s.order, n)
 	} else {
@@ -126,7 +127,7 @@
 	}
 	for _, code := range n.roster.Contacts() {
 		to := s.nodes[code]
-		s.after(s.delay, func() {
+		s.schedule(s.delay, func() {
 			if to.up {
 				to.roster.Know(s.now, n.Daemon)
 			}
@@ -140,24 +141,24 @@
 	if !n.up {
 		return
 	}
-	s.send(n, n.roster.Tick(s.now, n.word))
-	s.askNames(n)
-	s.after(TellEvery, func() { s.tick(n) })
+	s.send(n, n.roster.Tick(s.now, n.report))
+	s.lookUpUnknown(n)
+	s.schedule(TellEvery, func() { s.tick(n) })
 }
 
-// askNames asks another daemon for those that are not known.
-func (s *sim) askNames(n *node) {
-	ask, codes := n.roster.Unknown(s.now)
-	to := s.nodes[ask]
-	if n.asking || len(codes) == 0 || to == nil {
+// lookUpUnknown requests the daemons that are not known to a node from another daemon.
+func (s *sim) lookUpUnknown(n *node) {
+	source, codes := n.roster.Unknown(s.now)
+	to := s.nodes[source]
+	if n.lookupPending || len(codes) == 0 || to == nil {
 		return
 	}
-	n.asking = true
-	s.after(2*s.delay, func() {
-		n.asking = false
+	n.lookupPending = true
+	s.schedule(2*s.delay, func() {
+		n.lookupPending = false
 		for _, code := range codes {
-			k, ok := to.roster.known[code]
-			if ok && to.up && n.up && !s.cut(n.code, ask) && code != n.code {
+			k, ok := to.roster.daemons[code]
+			if ok && to.up && n.up && !s.disconnected(n.code, source) && code != n.code {
 				n.roster.Know(s.now, k.Daemon)
 			}
 		}
@@ -170,21 +171,21 @@
 		s.sent++
 		from.sent++
 		s.bytes += len(m.Data)
-		s.biggest = max(s.biggest, len(m.Data))
-		if len(m.Data) > packet {
+		s.maxDatagram = max(s.maxDatagram, len(m.Data))
+		if len(m.Data) > maxUDPPayload {
 			panic(fmt.Sprintf("datagram of %d bytes", len(m.Data)))
 		}
 		if to.Place != from.Place {
-			s.far += len(m.Data)
+			s.remoteBytes += len(m.Data)
 		}
-		if s.rand.Float64() < s.loss || s.cut(from.code, m.To) {
+		if s.rand.Float64() < s.loss || s.disconnected(from.code, m.To) {
 			continue
 		}
-		s.after(s.delay, func() { s.take(from, to, m.Data) })
+		s.schedule(s.delay, func() { s.deliver(from, to, m.Data) })
 	}
 }
 
-func (s *sim) take(from, to *node, data []byte) {
+func (s *sim) deliver(from, to *node, data []byte) {
 	if !to.up {
 		return
 	}
@@ -195,8 +196,8 @@
 	s.send(to, out)
 }
 
-// seen is how many of the fleet see a daemon as alive, without itself.
-func (s *sim) seen(code core.Code) int {
+// seenBy returns the number of daemons that see another one as alive.
+func (s *sim) seenBy(code core.Code) int {
 	n := 0
 	for _, one := range s.order {
 		if _, ok := one.roster.Status(s.now, code); ok && one.up && one.code != code {
@@ -206,8 +207,8 @@
 	return n
 }
 
-// neighbours is how many other daemons of a daemon's place live.
-func (s *sim) neighbours(of *node) int {
+// othersInDataCentre returns the number of other live daemons in a daemon's data centre.
+func (s *sim) othersInDataCentre(of *node) int {
 	n := 0
 	for _, one := range s.order {
 		if one.up && one != of && one.Place == of.Place {
@@ -217,24 +218,25 @@
 	return n
 }
 
-// hub returns the daemon that acts as hub of another one's group.
-func (s *sim) hub(of *node) *node {
-	for _, code := range of.roster.mine() {
-		if n := s.nodes[code]; n.up && n.roster.acts(s.now) {
+// hubOf returns the daemon that acts as the hub of a daemon's group.
+func (s *sim) hubOf(of *node) *node {
+	for _, code := range of.roster.ownMembers() {
+		if n := s.nodes[code]; n.up && n.roster.isHub(s.now) {
 			return n
 		}
 	}
 	return nil
 }
 
-// until lets time pass until something holds, and returns how long that was.
-func (s *sim) until(most time.Duration, holds func() bool) (time.Duration, bool) {
-	began := s.now
-	for s.now.Sub(began) < most {
+// runUntil advances the time until a condition holds, by limit at most, and returns how long
+// that took.
+func (s *sim) runUntil(limit time.Duration, condition func() bool) (time.Duration, bool) {
+	start := s.now
+	for s.now.Sub(start) < limit {
 		s.run(10 * time.Millisecond)
-		if holds() {
-			return s.now.Sub(began), true
+		if condition() {
+			return s.now.Sub(start), true
 		}
 	}
-	return most, false
+	return limit, false
 }
--- a/coordination/roster/status.go
+++ b/coordination/roster/status.go
@@ -7,52 +7,52 @@
 	"primroseward/core"
 )
 
-// Status is the state of a daemon that is alive. Of two hubs that name it the later word
-// counts.
+// Status returns the state of a daemon, and whether the daemon is alive. If several hubs list
+// it, the latest group state counts.
 func (r *Roster) Status(now time.Time, code core.Code) (Status, bool) {
-	var best *part
-	for _, p := range r.parts {
-		if _, ok := p.members[code]; ok && now.Sub(p.at) < partLife && (best == nil || p.at.After(best.at)) {
-			best = p
+	var best *groupState
+	for _, g := range r.groupStates {
+		if _, ok := g.members[code]; ok && now.Sub(g.sentAt) < groupStateTTL && (best == nil || g.sentAt.After(best.sentAt)) {
+			best = g
 		}
 	}
 	if best == nil {
 		return Status{}, false
 	}
-	return best.status(now, code), true
+	return best.memberStatus(now, code), true
 }
 
-// Each calls fn with the state of each daemon that is alive, as Status returns it. Where
-// several hubs name one the last call counts.
+// Each calls fn with the state of each live daemon, as Status returns it. If several hubs list
+// a daemon, fn is called once for each, and the last call counts.
 func (r *Roster) Each(now time.Time, fn func(code core.Code, s Status)) {
-	for _, p := range r.live(now) {
-		for code := range p.members {
-			fn(code, p.status(now, code))
+	for _, g := range r.liveStates(now) {
+		for code := range g.members {
+			fn(code, g.memberStatus(now, code))
 		}
 	}
 }
 
-// live are the parts that hold, oldest first.
-func (r *Roster) live(now time.Time) []*part {
-	var out []*part
-	for _, p := range r.parts {
-		if now.Sub(p.at) < partLife {
-			out = append(out, p)
+// liveStates returns the group states that have not expired, oldest first.
+func (r *Roster) liveStates(now time.Time) []*groupState {
+	var out []*groupState
+	for _, g := range r.groupStates {
+		if now.Sub(g.sentAt) < groupStateTTL {
+			out = append(out, g)
 		}
 	}
-	slices.SortFunc(out, func(a, b *part) int { return a.at.Compare(b.at) })
+	slices.SortFunc(out, func(a, b *groupState) int { return a.sentAt.Compare(b.sentAt) })
 	return out
 }
 
-// status is the state of one of a part's members.
-func (p *part) status(now time.Time, code core.Code) Status {
-	m := p.members[code]
-	s := statusOf(m.flags)
-	s.Settings, s.Confirmed = p.knows.Settings-m.lag, p.confirmed
-	c := p.claims[code]
+// memberStatus returns the state of a member of the group.
+func (g *groupState) memberStatus(now time.Time, code core.Code) Status {
+	m := g.members[code]
+	s := decodeFlags(m.flags)
+	s.Settings, s.Confirmed = g.changes.Settings-m.settingsLag, g.confirmed
+	c := g.claims[code]
 	s.Term, s.Fresh = c.term, c.fresh
 	if s.Confirmed >= 0 {
-		s.Confirmed += now.Sub(p.at)
+		s.Confirmed += now.Sub(g.sentAt)
 	}
 	return s
 }
--- a/coordination/roster/take.go
+++ b/coordination/roster/take.go
@@ -11,15 +11,15 @@
 )
 
 var (
-	// ErrUnreadable is the error of a datagram that can't be read.
+	// ErrUnreadable is returned for a datagram that cannot be decoded.
 	ErrUnreadable = errors.New("datagram unreadable")
-	// ErrUnknown is the error of a datagram of a daemon that is not known, or whose
-	// addresses have changed: it is to be asked who it is.
+	// ErrUnknown is returned for a datagram from a daemon that is not known or whose
+	// addresses have changed: the caller has to request its name and addresses.
 	ErrUnknown = errors.New("daemon unknown")
 )
 
-// Take takes in a datagram of another daemon, and returns what is to be sent for it and
-// what it told of the groups.
+// Take processes a datagram from another daemon, and returns the messages to send because of
+// it and what it contained about groups.
 func (r *Roster) Take(now time.Time, data []byte) ([]Message, []News, error) {
 	var d rosterv1.Datagram
 	if err := proto.Unmarshal(data, &d); err != nil {
@@ -27,59 +27,60 @@
 	}
 	switch kind := d.Kind.(type) {
 	case *rosterv1.Datagram_Report:
-		out, err := r.takeReport(now, kind.Report)
+		out, err := r.receiveReport(now, kind.Report)
 		return out, nil, err
 	case *rosterv1.Datagram_Digest:
-		return r.takeDigest(now, kind.Digest)
+		return r.receiveSummary(now, kind.Digest)
 	default:
 		return nil, nil, ErrUnreadable
 	}
 }
 
-func (r *Roster) takeReport(now time.Time, m *rosterv1.Report) ([]Message, error) {
+func (r *Roster) receiveReport(now time.Time, m *rosterv1.Report) ([]Message, error) {
 	code := core.CodeOf(m.Name)
-	k, ok := r.known[code]
+	k, ok := r.daemons[code]
 	if !ok || k.Tag != uint8(m.Tag) || k.Name != m.Name {
 		return nil, ErrUnknown
 	}
-	was, ok := r.reports[code]
-	if ok && m.Boot < k.Boot && now.Sub(was.at) < memberSilence {
-		return nil, nil // of a process that has been replaced
+	previous, ok := r.reports[code]
+	if ok && m.Boot < k.Boot && now.Sub(previous.receivedAt) < reportTimeout {
+		return nil, nil // from a process that has been replaced
 	}
 	k.Boot = m.Boot
-	w := Word{
-		Status: statusOf(rosterv1.Flag(m.Flags)), Knows: changesFrom(m.Knows), Down: codesFrom(m.Down),
-		Loads: loadsFrom(m.Loads), Usage: usageFrom(m.Usage),
+	report := Word{
+		Status: decodeFlags(rosterv1.Flag(m.Flags)), Knows: decodeChanges(m.Knows), Down: decodeCodes(m.Down),
+		Loads: decodeLoads(m.Loads), Usage: decodeUsage(m.Usage),
 	}
-	w.Term, w.Confirmed = m.Term, time.Duration(m.Confirmed)*time.Millisecond
-	r.reports[code] = &report{Word: w, at: now, spare: m.Spare}
-	if !ok || r.soon(&was.Word, &w) {
-		return r.outOfTurn(now), nil
+	report.Term, report.Confirmed = m.Term, time.Duration(m.Confirmed)*time.Millisecond
+	r.reports[code] = &receivedReport{Word: report, receivedAt: now, standby: m.Spare}
+	if !ok || r.isUrgent(&previous.Word, &report) {
+		return r.urgentSummaries(now), nil
 	}
 	return nil, nil
 }
 
-// soon says whether others must know of a daemon's new word before the next turn: what it
-// is, or a change of the store that nobody here knew.
-func (r *Roster) soon(was, is *Word) bool {
-	if was.Ready != is.Ready || was.Leaving != is.Leaving || was.Term != is.Term {
+// isUrgent reports whether a daemon's new report has to reach others before the next tick:
+// the daemon's readiness, its leaving or its term has changed, or it has a change of the store
+// that the group did not have.
+func (r *Roster) isUrgent(previous, current *Word) bool {
+	if previous.Ready != current.Ready || previous.Leaving != current.Leaving || previous.Term != current.Term {
 		return true
 	}
-	own := r.parts[r.self]
-	return own != nil && newer(is.Knows, own.knows)
+	own := r.groupStates[r.self]
+	return own != nil && hasNewerChanges(current.Knows, own.changes)
 }
 
-// newer says whether one knows a change that another does not.
-func newer(one, than core.Changes) bool {
-	return one.Config > than.Config || one.Runners > than.Runners || one.Settings > than.Settings
+// hasNewerChanges reports whether changes contains a change that than lacks.
+func hasNewerChanges(changes, than core.Changes) bool {
+	return changes.Config > than.Config || changes.Runners > than.Runners || changes.Settings > than.Settings
 }
 
-func (r *Roster) takeDigest(now time.Time, m *rosterv1.Digest) ([]Message, []News, error) {
+func (r *Roster) receiveSummary(now time.Time, m *rosterv1.Digest) ([]Message, []News, error) {
 	if len(m.Parts) == 0 {
 		return nil, nil, ErrUnreadable
 	}
 	from := core.CodeOf(m.Parts[0].Hub)
-	k, ok := r.known[from]
+	k, ok := r.daemons[from]
 	if !ok || k.Name != m.Parts[0].Hub {
 		return nil, nil, ErrUnknown
 	}
@@ -87,132 +88,132 @@
 		return nil, nil, nil
 	}
 	if m.Fleet {
-		return r.takeFleet(now, from, m)
+		return r.receiveFleetSummary(now, from, m)
 	}
-	news := r.takePart(now, m.Parts[0])
-	p := r.parts[from]
+	change := r.updateGroupState(now, m.Parts[0])
+	g := r.groupStates[from]
 	if m.Loads != nil {
-		p.loads, p.loadsAt = merge(p.loads, m.Loads), now
+		g.loads, g.loadsAt = mergeLoads(g.loads, m.Loads), now
 	}
 	if m.Usage != nil {
-		p.usage, p.usageAt = mergeUsage(p.usage, m.Usage), now
+		g.usage, g.usageAt = mergeUsage(g.usage, m.Usage), now
 	}
-	if r.acts(now) {
-		if news.changed {
-			return r.outOfTurn(now), news.list(), nil
+	if r.isHub(now) {
+		if change.changed {
+			return r.urgentSummaries(now), change.updates(), nil
 		}
-		return nil, news.list(), nil
+		return nil, change.updates(), nil
 	}
-	return r.pass(now, m), news.list(), nil
+	return r.forwardToHub(now, m), change.updates(), nil
 }
 
-// pass gives another group's digest to this group's hub: its sender does not know who
-// that is.
-func (r *Roster) pass(now time.Time, m *rosterv1.Digest) []Message {
-	hub, _ := r.hubs(now)
+// forwardToHub forwards a summary of another group to the hub of this group: its sender does
+// not know which daemon that is.
+func (r *Roster) forwardToHub(now time.Time, m *rosterv1.Digest) []Message {
+	hub, _ := r.reportTargets(now)
 	if m.Passed || hub == 0 {
 		return nil
 	}
 	m.Passed = true
-	return []Message{{To: hub, Kind: KindDigest, Data: write(&rosterv1.Datagram{Kind: &rosterv1.Datagram_Digest{Digest: m}})}}
+	return []Message{{To: hub, Kind: KindSummary, Data: marshal(&rosterv1.Datagram{Kind: &rosterv1.Datagram_Digest{Digest: m}})}}
 }
 
-// takeFleet takes in the digest of a hub of this group.
-func (r *Roster) takeFleet(now time.Time, from core.Code, m *rosterv1.Digest) ([]Message, []News, error) {
-	r.known[from].hub = now
+// receiveFleetSummary processes a summary from a hub of this group.
+func (r *Roster) receiveFleetSummary(now time.Time, from core.Code, m *rosterv1.Digest) ([]Message, []News, error) {
+	r.daemons[from].lastSeenAsHub = now
 	var out []News
-	acts := r.acts(now)
-	for i, one := range m.Parts {
-		hub := core.CodeOf(one.Hub)
-		if k, ok := r.known[hub]; hub == r.self || !ok || k.Name != one.Hub {
-			if !ok && one.Hub != "" {
-				r.unknown[hub] = from
+	acts := r.isHub(now)
+	for i, part := range m.Parts {
+		hub := core.CodeOf(part.Hub)
+		if k, ok := r.daemons[hub]; hub == r.self || !ok || k.Name != part.Hub {
+			if !ok && part.Hub != "" {
+				r.unknownHubs[hub] = from
 			}
 			continue
 		}
 		if acts && i > 0 {
-			continue // is told by the hubs themselves
+			continue // the other hubs send it to this one directly
 		}
-		out = append(out, r.takePart(now, one).list()...)
+		out = append(out, r.updateGroupState(now, part).updates()...)
 	}
-	if !acts && m.Loads != nil && r.counts(from) {
-		r.total = merge(r.total, m.Loads)
+	if !acts && m.Loads != nil && r.isCountedBy(from) {
+		r.totalLoads = mergeLoads(r.totalLoads, m.Loads)
 	}
-	if !acts && m.Usage != nil && r.counts(from) {
-		r.usage, r.usageAt = mergeUsage(r.usage, m.Usage), now
+	if !acts && m.Usage != nil && r.isCountedBy(from) {
+		r.totalUsage, r.totalUsageAt = mergeUsage(r.totalUsage, m.Usage), now
 	}
 	return nil, out, nil
 }
 
-// counts says whether a hub counts this daemon. One that has just begun to act has no
-// reports yet: its sum would make all runners seem idle.
-func (r *Roster) counts(hub core.Code) bool {
-	_, ok := r.parts[hub].members[r.self]
+// isCountedBy reports whether this daemon is a member in the state that a hub sent. A hub
+// that has just begun to act has no reports yet: its sum would make all runners seem idle.
+func (r *Roster) isCountedBy(hub core.Code) bool {
+	_, ok := r.groupStates[hub].members[r.self]
 	return ok
 }
 
-// taken is what a part has told.
-type taken struct {
+// stateChange is the result of updateGroupState.
+type stateChange struct {
 	News
-	newer, changed bool
+	accepted, changed bool
 }
 
-func (t taken) list() []News {
-	if !t.newer {
+func (t stateChange) updates() []News {
+	if !t.accepted {
 		return nil
 	}
 	return []News{t.News}
 }
 
-// takePart takes in what a hub has told of its group, unless it is older than what is
-// known of it.
-func (r *Roster) takePart(now time.Time, m *rosterv1.Part) taken {
+// updateGroupState stores the state that a hub sent of its group, unless the stored one is
+// newer.
+func (r *Roster) updateGroupState(now time.Time, m *rosterv1.Part) stateChange {
 	hub := core.CodeOf(m.Hub)
 	at := now.Add(-time.Duration(m.Age) * time.Millisecond)
-	p, ok := r.parts[hub]
+	g, ok := r.groupStates[hub]
 	if !ok {
-		p = &part{hub: hub, members: map[core.Code]member{}}
-		r.parts[hub] = p
+		g = &groupState{hub: hub, members: map[core.Code]member{}}
+		r.groupStates[hub] = g
 	}
-	if ok && at.Before(p.at) {
-		if p.held != m.Version && m.Members != nil && p.version == m.Version {
-			p.members, p.held = membersFrom(m.Members), m.Version // by a later packet of one turn
+	if ok && at.Before(g.sentAt) {
+		if g.membersVersion != m.Version && m.Members != nil && g.version == m.Version {
+			g.members, g.membersVersion = decodeMembers(m.Members), m.Version // in a later packet of the same tick
 		}
-		return taken{}
+		return stateChange{}
 	}
-	was := p.version
-	knew := p.knows
-	p.at, p.version, p.knows, p.sources = at, m.Version, changesFrom(m.Knows), sourcesFrom(m.Sources)
-	p.confirmed, p.down = time.Duration(m.Confirmed)*time.Millisecond, codesFrom(m.Down)
+	previousVersion := g.version
+	previousChanges := g.changes
+	g.sentAt, g.version, g.changes, g.sources = at, m.Version, decodeChanges(m.Knows), decodeSources(m.Sources)
+	g.confirmed, g.refusingRunners = time.Duration(m.Confirmed)*time.Millisecond, decodeCodes(m.Down)
 	if m.Confirmed < 0 {
-		p.confirmed = -1
+		g.confirmed = -1
 	}
-	p.touch = int(m.Touch)
-	p.claims = make(map[core.Code]claim, len(m.Claims))
+	g.reachable = int(m.Touch)
+	g.claims = make(map[core.Code]claim, len(m.Claims))
 	for _, c := range m.Claims {
-		p.claims[core.Code(c.Code)] = claim{c.Term, c.Fresh}
+		g.claims[core.Code(c.Code)] = claim{c.Term, c.Fresh}
 	}
-	if m.Members != nil && p.held != m.Version {
-		p.members, p.held = membersFrom(m.Members), m.Version
+	if m.Members != nil && g.membersVersion != m.Version {
+		g.members, g.membersVersion = decodeMembers(m.Members), m.Version
 	}
-	changed := was != p.version || newer(p.knows, knew)
-	if was != p.version {
-		p.fresh = repeats
+	changed := previousVersion != g.version || hasNewerChanges(g.changes, previousChanges)
+	if previousVersion != g.version {
+		g.memberSendsLeft = changeSends
 	}
 	if changed {
-		p.due = repeats
+		g.sendsLeft = changeSends
 	}
-	return taken{News{Place: r.known[hub].Place, Sources: p.sources, Knows: p.knows, Confirmed: p.confirmed, Down: p.down}, true, changed}
+	return stateChange{News{Place: r.daemons[hub].Place, Sources: g.sources, Knows: g.changes, Confirmed: g.confirmed, Down: g.refusingRunners}, true, changed}
 }
 
-// membersFrom reads a list of members.
-func membersFrom(m *rosterv1.Members) map[core.Code]member {
+// decodeMembers decodes a member list, up to the first incomplete entry.
+func decodeMembers(m *rosterv1.Members) map[core.Code]member {
 	out := make(map[core.Code]member, len(m.Codes))
 	for i, code := range m.Codes {
 		if i >= len(m.Tags) || i >= len(m.Flags) || i >= len(m.Lag) {
 			break
 		}
-		out[core.Code(code)] = member{tag: m.Tags[i], flags: rosterv1.Flag(m.Flags[i]), lag: m.Lag[i]}
+		out[core.Code(code)] = member{addressTag: m.Tags[i], flags: rosterv1.Flag(m.Flags[i]), settingsLag: m.Lag[i]}
 	}
 	return out
 }
--- a/coordination/roster/tell.go
+++ b/coordination/roster/tell.go
@@ -11,271 +11,272 @@
 	rosterv1 "primroseward/protocol/rosterv1"
 )
 
-// report tells this daemon's word to its hubs.
-func (r *Roster) report(now time.Time) []Message {
-	hub, to := r.hubs(now)
+// makeReports returns this daemon's reports to its hubs.
+func (r *Roster) makeReports(now time.Time) []Message {
+	hub, to := r.reportTargets(now)
 	if len(to) == 0 {
 		return nil
 	}
-	r.told, r.used = r.word.Loads, r.word.Usage
-	self, w := r.known[r.self], &r.word
+	r.reportedLoads, r.reportedUsage = r.ownReport.Loads, r.ownReport.Usage
+	self, own := r.daemons[r.self], &r.ownReport
 	report := &rosterv1.Report{
-		Name: self.Name, Boot: self.Boot, Tag: uint32(self.Tag), Flags: uint32(flagsOf(&w.Status)), Term: w.Term,
-		Knows: changesTo(w.Knows), Confirmed: millis(w.Confirmed), Down: codesTo(w.Down), Loads: loadsTo(w.Loads),
-		Usage: usageTo(w.Usage),
+		Name: self.Name, Boot: self.Boot, Tag: uint32(self.Tag), Flags: uint32(encodeFlags(&own.Status)), Term: own.Term,
+		Knows: encodeChanges(own.Knows), Confirmed: encodeMillis(own.Confirmed), Down: encodeCodes(own.Down), Loads: encodeLoads(own.Loads),
+		Usage: encodeUsage(own.Usage),
 	}
 	out := make([]Message, len(to))
 	for i, code := range to {
 		report.Spare = code != hub
-		out[i] = Message{To: code, Kind: KindReport, Data: write(&rosterv1.Datagram{Kind: &rosterv1.Datagram_Report{Report: report}})}
+		out[i] = Message{To: code, Kind: KindReport, Data: marshal(&rosterv1.Datagram{Kind: &rosterv1.Datagram_Report{Report: report}})}
 	}
 	return out
 }
 
-// digests tells this daemon's group of the fleet, and the other hubs of the group.
-// Turn 0 is out of turn and for all of them.
-func (r *Roster) digests(now time.Time, turn int) []Message {
-	if r.acting.IsZero() {
-		r.acting = now
+// makeSummaries returns the summaries of the fleet for this daemon's group, and those of the
+// group for the other hubs. Tick 0 stands for urgent summaries, which go to all of them.
+func (r *Roster) makeSummaries(now time.Time, tick int) []Message {
+	if r.actingSince.IsZero() {
+		r.actingSince = now
 	}
-	own := r.gather(now)
-	if r.complete(now) {
-		r.total = r.placeLoads(now)
+	own := r.collectReports(now)
+	if r.loadsComplete(now) {
+		r.totalLoads = r.sumLoads(now)
 	}
-	r.told, r.used = r.word.Loads, r.word.Usage
+	r.reportedLoads, r.reportedUsage = r.ownReport.Loads, r.ownReport.Usage
 	if r.usageComplete(now) {
-		r.usage, r.usageAt = r.fleetUsage(now), now
+		r.totalUsage, r.totalUsageAt = r.sumUsage(now), now
 	}
-	return append(r.toHubs(now, own, turn), r.toGroup(now, turn)...)
+	return append(r.summariesToHubs(now, own, tick), r.summariesToGroup(now, tick)...)
 }
 
-// toHubs tells the hubs of the other groups of this one.
-func (r *Roster) toHubs(now time.Time, own *part, turn int) []Message {
-	full := own.fresh > 0 || turn%lonelyTurns == 0
-	parts := []*rosterv1.Part{r.write(now, own, full)}
-	usage := inTurn(usageChunks(own.usage), turn, hubChunks)
-	near, far := pack(false, parts, inTurn(chunksOf(own.loads), turn, hubChunks), usage), pack(false, parts, nil, usage)
+// summariesToHubs returns the summaries of this group for the hubs of the other groups.
+func (r *Roster) summariesToHubs(now time.Time, own *groupState, tick int) []Message {
+	full := own.memberSendsLeft > 0 || tick%probeTicks == 0
+	parts := []*rosterv1.Part{r.encodeGroupState(now, own, full)}
+	usage := chunksForTick(usageChunks(own.usage), tick, hubChunksPerTick)
+	local, remote := packSummaries(false, parts, chunksForTick(loadChunks(own.loads), tick, hubChunksPerTick), usage), packSummaries(false, parts, nil, usage)
 	var out []Message
 	for key, codes := range r.allGroups() {
-		if key == r.own || key.place != r.own.place && turn%farTurns != 0 {
+		if key == r.ownKey || key.dataCentre != r.ownKey.dataCentre && tick%remoteTicks != 0 {
 			continue
 		}
 		to := slices.DeleteFunc(slices.Clone(codes), func(code core.Code) bool {
-			p := r.parts[code]
-			return p == nil || now.Sub(p.at) >= partLife
+			g := r.groupStates[code]
+			return g == nil || now.Sub(g.sentAt) >= groupStateTTL
 		})
 		if len(to) == 0 {
-			to = r.search(codes)
+			to = r.searchTargets(codes)
 		}
-		packets := far
-		if key.place == r.own.place {
-			packets = near
+		packets := remote
+		if key.dataCentre == r.ownKey.dataCentre {
+			packets = local
 		}
 		for _, code := range to {
-			out = appendTo(out, code, packets)
+			out = appendMessages(out, code, packets)
 		}
 	}
 	return out
 }
 
-// toGroup tells the daemons of this group what is known of all groups. The members of a
-// part are told where they have changed, and in turn.
-func (r *Roster) toGroup(now time.Time, turn int) []Message {
-	hubs := slices.Sorted(maps.Keys(r.parts))
+// summariesToGroup returns the summaries of all groups for the daemons of this group. The
+// members of a group are included when they have changed, and otherwise in rotation.
+func (r *Roster) summariesToGroup(now time.Time, tick int) []Message {
+	hubs := slices.Sorted(maps.Keys(r.groupStates))
 	hubs = append([]core.Code{r.self}, slices.DeleteFunc(hubs, func(c core.Code) bool { return c == r.self })...)
 	var parts []*rosterv1.Part
 	for i, hub := range hubs {
-		p := r.parts[hub]
-		itsTurn := (i+turn*partsPerTurn)%len(hubs) < partsPerTurn
-		if i > 0 && p.due == 0 && !itsTurn {
+		g := r.groupStates[hub]
+		inRotation := (i+tick*groupsPerTick)%len(hubs) < groupsPerTick
+		if i > 0 && g.sendsLeft == 0 && !inRotation {
 			continue
 		}
-		full := p.fresh > 0 || turn%len(hubs) == i
-		p.fresh, p.due = max(0, p.fresh-1), max(0, p.due-1)
-		parts = append(parts, r.write(now, p, full))
+		full := g.memberSendsLeft > 0 || tick%len(hubs) == i
+		g.memberSendsLeft, g.sendsLeft = max(0, g.memberSendsLeft-1), max(0, g.sendsLeft-1)
+		parts = append(parts, r.encodeGroupState(now, g, full))
 	}
 	var loads []*rosterv1.Loads
-	if turn > 0 && r.complete(now) {
-		// One chunk a turn: each daemon gets one packet a turn, however many runners
-		// there are.
-		loads = inTurn(chunksOf(r.total), turn, 1)
+	if tick > 0 && r.loadsComplete(now) {
+		// One chunk per tick: each daemon receives one packet per tick, however many
+		// runners there are.
+		loads = chunksForTick(loadChunks(r.totalLoads), tick, 1)
 	}
 	var usage []*rosterv1.Usage
-	if turn > 0 && r.usageComplete(now) {
-		usage = inTurn(usageChunks(r.usage), turn, 1)
+	if tick > 0 && r.usageComplete(now) {
+		usage = chunksForTick(usageChunks(r.totalUsage), tick, 1)
 	}
-	packets := pack(true, parts, loads, usage)
+	packets := packSummaries(true, parts, loads, usage)
 	var out []Message
-	for _, code := range r.mine() {
-		_, follows := r.reports[code]
-		if code != r.self && (follows || turn%lonelyTurns == 0) {
-			out = appendTo(out, code, packets)
+	for _, code := range r.ownMembers() {
+		_, reportsHere := r.reports[code]
+		if code != r.self && (reportsHere || tick%probeTicks == 0) {
+			out = appendMessages(out, code, packets)
 		}
 	}
 	return out
 }
 
-// inTurn returns the chunks that a turn tells, n of all.
-func inTurn[T any](chunks []T, turn, n int) []T {
+// chunksForTick returns the n chunks that are sent at a tick, in rotation.
+func chunksForTick[T any](chunks []T, tick, n int) []T {
 	if len(chunks) <= n {
 		return chunks
 	}
-	at := turn * n % len(chunks)
+	at := tick * n % len(chunks)
 	return append(chunks, chunks...)[at : at+n]
 }
 
-func appendTo(out []Message, to core.Code, packets [][]byte) []Message {
+func appendMessages(out []Message, to core.Code, packets [][]byte) []Message {
 	for _, data := range packets {
-		out = append(out, Message{To: to, Kind: KindDigest, Data: data})
+		out = append(out, Message{To: to, Kind: KindSummary, Data: data})
 	}
 	return out
 }
 
-// gather sums up the reports of this group, as a part of its own.
-func (r *Roster) gather(now time.Time) *part {
-	was := r.parts[r.self]
-	p := &part{
-		hub: r.self, at: now, loadsAt: now, usageAt: now, confirmed: -1, members: make(map[core.Code]member, len(r.reports)+1),
+// collectReports sums up the reports of this group and stores the result as its state.
+func (r *Roster) collectReports(now time.Time) *groupState {
+	previous := r.groupStates[r.self]
+	g := &groupState{
+		hub: r.self, sentAt: now, loadsAt: now, usageAt: now, confirmed: -1, members: make(map[core.Code]member, len(r.reports)+1),
 		claims: map[core.Code]claim{}, loads: map[core.Code]int{},
 		usage: map[core.Code]core.Usage{},
 	}
-	words := make(map[core.Code]*Word, len(r.reports)+1)
-	for code, one := range r.reports {
-		words[code] = &one.Word
-		if one.spare && now.Sub(r.acting) >= loadLife {
-			continue // is counted by the hub that it follows
+	reports := make(map[core.Code]*Word, len(r.reports)+1)
+	for code, received := range r.reports {
+		reports[code] = &received.Word
+		if received.standby && now.Sub(r.actingSince) >= loadTTL {
+			continue // counted by the hub that it follows
 		}
-		for runner, n := range one.Loads {
-			p.loads[runner] += n
+		for runner, n := range received.Loads {
+			g.loads[runner] += n
 		}
-		if now.Sub(one.at) < TouchFor {
-			addUsage(p.usage, one.Usage)
-			p.touch++
+		if now.Sub(received.receivedAt) < TouchFor {
+			addUsage(g.usage, received.Usage)
+			g.reachable++
 		}
 	}
-	p.touch++
-	for runner, n := range r.word.Loads {
-		p.loads[runner] += n
+	g.reachable++
+	for runner, n := range r.ownReport.Loads {
+		g.loads[runner] += n
 	}
-	addUsage(p.usage, r.word.Usage)
-	p.settle(r.word.Usage)
-	words[r.self] = &r.word
-	down := map[core.Code]bool{}
-	for code, w := range words {
-		p.learn(code, w.Knows)
-		for _, runner := range w.Down {
-			down[runner] = true
+	addUsage(g.usage, r.ownReport.Usage)
+	g.setRemaining(r.ownReport.Usage)
+	reports[r.self] = &r.ownReport
+	refusing := map[core.Code]bool{}
+	for code, report := range reports {
+		g.addChanges(code, report.Knows)
+		for _, runner := range report.Down {
+			refusing[runner] = true
 		}
-		if w.Term > 0 {
-			p.claims[code] = claim{w.Term, w.Fresh}
+		if report.Term > 0 {
+			g.claims[code] = claim{report.Term, report.Fresh}
 		}
 	}
-	p.down = slices.Sorted(maps.Keys(down))
-	for code, w := range words {
-		p.members[code] = member{tag: r.known[code].Tag, flags: flagsOf(&w.Status), lag: p.knows.Settings - w.Knows.Settings}
-		if w.Knows.Settings == p.knows.Settings && w.Confirmed >= 0 && (p.confirmed < 0 || w.Confirmed < p.confirmed) {
-			p.confirmed = w.Confirmed
+	g.refusingRunners = slices.Sorted(maps.Keys(refusing))
+	for code, report := range reports {
+		g.members[code] = member{addressTag: r.daemons[code].Tag, flags: encodeFlags(&report.Status), settingsLag: g.changes.Settings - report.Knows.Settings}
+		if report.Knows.Settings == g.changes.Settings && report.Confirmed >= 0 && (g.confirmed < 0 || report.Confirmed < g.confirmed) {
+			g.confirmed = report.Confirmed
 		}
 	}
-	p.version = versionOf(p.members)
-	p.held = p.version
+	g.version = hashMembers(g.members)
+	g.membersVersion = g.version
 	switch {
-	case was == nil || was.version != p.version:
-		p.fresh = repeats
+	case previous == nil || previous.version != g.version:
+		g.memberSendsLeft = changeSends
 	default:
-		p.fresh = was.fresh
+		g.memberSendsLeft = previous.memberSendsLeft
 	}
-	r.parts[r.self] = p
-	return p
+	r.groupStates[r.self] = g
+	return g
 }
 
-// learn takes in the changes that a daemon of the group knows.
-func (p *part) learn(code core.Code, knows core.Changes) {
-	for _, one := range []struct {
-		is     uint64
-		newest *uint64
-		source *core.Code
+// addChanges adds the changes that a daemon of the group has.
+func (g *groupState) addChanges(code core.Code, changes core.Changes) {
+	for _, change := range []struct {
+		version uint64
+		newest  *uint64
+		source  *core.Code
 	}{
-		{knows.Config, &p.knows.Config, &p.sources.Config},
-		{knows.Runners, &p.knows.Runners, &p.sources.Runners},
-		{knows.Settings, &p.knows.Settings, &p.sources.Settings},
+		{changes.Config, &g.changes.Config, &g.sources.Config},
+		{changes.Runners, &g.changes.Runners, &g.sources.Runners},
+		{changes.Settings, &g.changes.Settings, &g.sources.Settings},
 	} {
-		if one.is > *one.newest {
-			*one.newest, *one.source = one.is, code
+		if change.version > *change.newest {
+			*change.newest, *change.source = change.version, code
 		}
 	}
 }
 
-// versionOf is equal for equal members.
-func versionOf(members map[core.Code]member) uint64 {
+// hashMembers returns a hash of the members, which is equal for equal members.
+func hashMembers(members map[core.Code]member) uint64 {
 	h := xxhash.New()
 	for _, code := range slices.Sorted(maps.Keys(members)) {
 		m := members[code]
 		_, _ = h.Write([]byte{
-			byte(code), byte(code >> 8), byte(code >> 16), byte(code >> 24), m.tag, byte(m.flags),
-			byte(m.lag), byte(m.lag >> 8), byte(m.lag >> 16), byte(m.lag >> 24),
-		}) // a hash takes all bytes
+			byte(code), byte(code >> 8), byte(code >> 16), byte(code >> 24), m.addressTag, byte(m.flags),
+			byte(m.settingsLag), byte(m.settingsLag >> 8), byte(m.settingsLag >> 16), byte(m.settingsLag >> 24),
+		}) // writing to a hash never fails
 	}
 	return h.Sum64()
 }
 
-// placeLoads sums up the loads of the place's groups.
-func (r *Roster) placeLoads(now time.Time) map[core.Code]int {
+// sumLoads sums up the loads of the groups of this data centre.
+func (r *Roster) sumLoads(now time.Time) map[core.Code]int {
 	out := map[core.Code]int{}
-	for _, p := range r.parts {
-		if !r.near(p) || now.Sub(p.loadsAt) >= loadLife {
+	for _, g := range r.groupStates {
+		if !r.inOwnDataCentre(g) || now.Sub(g.loadsAt) >= loadTTL {
 			continue
 		}
-		for runner, n := range p.loads {
+		for runner, n := range g.loads {
 			out[runner] += n
 		}
 	}
 	return out
 }
 
-// near says whether a part is of this daemon's place.
-func (r *Roster) near(p *part) bool {
-	k, ok := r.known[p.hub]
-	return ok && k.Place == r.own.place
+// inOwnDataCentre reports whether a group is in this daemon's data centre.
+func (r *Roster) inOwnDataCentre(g *groupState) bool {
+	k, ok := r.daemons[g.hub]
+	return ok && k.Place == r.ownKey.dataCentre
 }
 
-// complete says whether the sum of loads is that of all groups of the place. A hub that
-// has just begun to act has not heard from all: its sum would make runners seem idle.
-func (r *Roster) complete(now time.Time) bool {
-	if now.Sub(r.acting) >= loadLife {
+// loadsComplete reports whether the sum of loads covers all groups of the data centre. A hub
+// that has just begun to act has not received the loads of all groups yet: its sum would make
+// runners seem idle.
+func (r *Roster) loadsComplete(now time.Time) bool {
+	if now.Sub(r.actingSince) >= loadTTL {
 		return true
 	}
-	for _, p := range r.parts {
-		if r.near(p) && p.loadsAt.IsZero() {
+	for _, g := range r.groupStates {
+		if r.inOwnDataCentre(g) && g.loadsAt.IsZero() {
 			return false
 		}
 	}
 	return true
 }
 
-// write writes a part, with its members if full is set.
-func (r *Roster) write(now time.Time, p *part, full bool) *rosterv1.Part {
-	k, ok := r.known[p.hub]
+// encodeGroupState encodes the state of a group, with its members if full is set.
+func (r *Roster) encodeGroupState(now time.Time, g *groupState, full bool) *rosterv1.Part {
+	k, ok := r.daemons[g.hub]
 	if !ok {
 		return &rosterv1.Part{}
 	}
-	age := now.Sub(p.at)
+	age := now.Sub(g.sentAt)
 	out := &rosterv1.Part{
-		Hub: k.Name, Age: uint32(age.Milliseconds()), Version: p.version, Knows: changesTo(p.knows), Sources: sourcesTo(p.sources),
-		Confirmed: millis(p.confirmed), Down: codesTo(p.down), Touch: uint32(p.touch),
+		Hub: k.Name, Age: uint32(age.Milliseconds()), Version: g.version, Knows: encodeChanges(g.changes), Sources: encodeSources(g.sources),
+		Confirmed: encodeMillis(g.confirmed), Down: encodeCodes(g.refusingRunners), Touch: uint32(g.reachable),
 	}
-	for code, c := range p.claims {
+	for code, c := range g.claims {
 		out.Claims = append(out.Claims, &rosterv1.Claim{Code: uint32(code), Term: c.term, Fresh: c.fresh})
 	}
-	if !full || p.held != p.version {
+	if !full || g.membersVersion != g.version {
 		return out
 	}
 	m := &rosterv1.Members{}
-	for code, one := range p.members {
+	for code, one := range g.members {
 		m.Codes = append(m.Codes, uint32(code))
-		m.Tags = append(m.Tags, one.tag)
+		m.Tags = append(m.Tags, one.addressTag)
 		m.Flags = append(m.Flags, byte(one.flags))
-		m.Lag = append(m.Lag, one.lag)
+		m.Lag = append(m.Lag, one.settingsLag)
 	}
 	out.Members = m
 	return out
--- a/coordination/roster/usage.go
+++ b/coordination/roster/usage.go
@@ -8,7 +8,8 @@
 	rosterv1 "primroseward/protocol/rosterv1"
 )
 
-// addUsage adds what is asked for and used; what is left is not a sum.
+// addUsage adds the rates of from, asked and spent, to those of to. Left is not additive and
+// is set to NaN.
 func addUsage(to, from map[core.Code]core.Usage) {
 	for code, u := range from {
 		sum := to[code]
@@ -16,32 +17,32 @@
 	}
 }
 
-// settle puts the hub's own word for what is left into its group's usage.
-func (p *part) settle(own map[core.Code]core.Usage) {
-	for code, u := range p.usage {
+// setRemaining sets Left in the usage of the group to the hub's own values, or to
+// NaN where the hub has none.
+func (g *groupState) setRemaining(own map[core.Code]core.Usage) {
+	for code, u := range g.usage {
 		u.Left = math.NaN()
-		if is, ok := own[code]; ok {
-			u.Left = is.Left
+		if last, ok := own[code]; ok {
+			u.Left = last.Left
 		}
-		p.usage[code] = u
+		g.usage[code] = u
 	}
 }
 
-// fleetUsage sums up the usage of all groups. What is left is the mean of what their hubs
-// think.
-func (r *Roster) fleetUsage(now time.Time) map[core.Code]core.Usage {
+// sumUsage sums up the usage of all groups. Left is the mean of the values of their hubs.
+func (r *Roster) sumUsage(now time.Time) map[core.Code]core.Usage {
 	out := map[core.Code]core.Usage{}
 	type mean struct {
 		sum float64
 		n   int
 	}
 	left := map[core.Code]mean{}
-	for _, p := range r.parts {
-		if now.Sub(p.at) >= TouchFor {
+	for _, g := range r.groupStates {
+		if now.Sub(g.sentAt) >= TouchFor {
 			continue
 		}
-		addUsage(out, p.usage)
-		for code, u := range p.usage {
+		addUsage(out, g.usage)
+		for code, u := range g.usage {
 			if m := left[code]; !math.IsNaN(u.Left) {
 				left[code] = mean{m.sum + u.Left, m.n + 1}
 			}
@@ -55,44 +56,44 @@
 	return out
 }
 
-// TouchFor is how long after its last word a daemon counts as in touch, where that decides
-// on what may be let in: one that is cut off is to be missed soon, and to miss one wrongly
-// for a moment costs next to nothing.
+// TouchFor is how long after its last message a daemon counts as reachable where that decides
+// on admission. It is short as a daemon that is cut off has to be left out soon, while leaving
+// out a reachable one for a moment costs next to nothing.
 const TouchFor = 500 * time.Millisecond
 
-// Touch is how many daemons, this one included, are in touch by what hubs have told lately;
-// they may have told it longer ago in fleets of so many groups that a hub tells of them in
-// turns.
+// Touch returns the number of daemons, including this one, that are reachable according to
+// recent group states. The states may be older than TouchFor in fleets with so many groups
+// that a hub sends their states in rotation.
 func (r *Roster) Touch(now time.Time) int {
-	within := TouchFor + time.Duration(len(r.parts)/partsPerTurn)*TellEvery
+	maxAge := TouchFor + time.Duration(len(r.groupStates)/groupsPerTick)*TellEvery
 	n := 0
-	for _, p := range r.parts {
-		if now.Sub(p.at) < within {
-			n += p.touch
+	for _, g := range r.groupStates {
+		if now.Sub(g.sentAt) < maxAge {
+			n += g.reachable
 		}
 	}
 	return max(1, n)
 }
 
-// usageComplete says whether the sum of usage is that of all groups. One of a hub that has
+// usageComplete reports whether the sum of usage covers all groups. The sum of a hub that has
 // just begun to act would make workspaces seem idle.
 func (r *Roster) usageComplete(now time.Time) bool {
-	if now.Sub(r.acting) >= loadLife {
+	if now.Sub(r.actingSince) >= loadTTL {
 		return true
 	}
-	for _, p := range r.parts {
-		if p.usageAt.IsZero() && now.Sub(p.at) < partLife {
+	for _, g := range r.groupStates {
+		if g.usageAt.IsZero() && now.Sub(g.sentAt) < groupStateTTL {
 			return false
 		}
 	}
 	return true
 }
 
-func usageTo(usage map[core.Code]core.Usage) *rosterv1.Usage { return splitUsage(usage, 1)[0] }
+func encodeUsage(usage map[core.Code]core.Usage) *rosterv1.Usage { return splitUsage(usage, 1)[0] }
 
-// usageChunks writes usage in chunks that fit into packets.
+// usageChunks encodes usage in chunks that each fit into a packet.
 func usageChunks(usage map[core.Code]core.Usage) []*rosterv1.Usage {
-	return splitUsage(usage, max(1, (len(usage)+maxUsage-1)/maxUsage))
+	return splitUsage(usage, max(1, (len(usage)+maxChunkWorkspaces-1)/maxChunkWorkspaces))
 }
 
 func splitUsage(usage map[core.Code]core.Usage, chunks int) []*rosterv1.Usage {
@@ -101,34 +102,34 @@
 		out[i] = &rosterv1.Usage{Chunk: uint32(i), Chunks: uint32(chunks)}
 	}
 	for code, u := range usage {
-		one := out[int(code)%chunks]
-		one.Workspaces = append(one.Workspaces, uint32(code))
-		one.Asked = append(one.Asked, float32(u.Asked))
-		one.Spent = append(one.Spent, float32(u.Spent))
-		one.Left = append(one.Left, float32(u.Left))
+		chunk := out[int(code)%chunks]
+		chunk.Workspaces = append(chunk.Workspaces, uint32(code))
+		chunk.Asked = append(chunk.Asked, float32(u.Asked))
+		chunk.Spent = append(chunk.Spent, float32(u.Spent))
+		chunk.Left = append(chunk.Left, float32(u.Left))
 	}
 	return out
 }
 
-// mergeUsage puts a chunk in place of what was told before of its workspaces.
+// mergeUsage replaces the usage of the workspaces that a chunk covers by that in the chunk.
 func mergeUsage(usage map[core.Code]core.Usage, m *rosterv1.Usage) map[core.Code]core.Usage {
-	return replaceChunk(usage, usageFrom(m), m.GetChunk(), m.GetChunks())
+	return replaceChunk(usage, decodeUsage(m), m.GetChunk(), m.GetChunks())
 }
 
-// usageFrom reads usage; rates that are none are left out.
-func usageFrom(m *rosterv1.Usage) map[core.Code]core.Usage {
+// decodeUsage decodes usage and leaves out entries with invalid values.
+func decodeUsage(m *rosterv1.Usage) map[core.Code]core.Usage {
 	out := make(map[core.Code]core.Usage, len(m.GetWorkspaces()))
 	for i, code := range m.GetWorkspaces() {
 		if i >= len(m.GetAsked()) || i >= len(m.GetSpent()) || i >= len(m.GetLeft()) {
 			break
 		}
 		u := core.Usage{Asked: float64(m.Asked[i]), Spent: float64(m.Spent[i]), Left: float64(m.Left[i])}
-		if rate(u.Asked) && rate(u.Spent) && !math.IsInf(u.Left, 0) {
+		if isRate(u.Asked) && isRate(u.Spent) && !math.IsInf(u.Left, 0) {
 			out[core.Code(code)] = u
 		}
 	}
 	return out
 }
 
-// rate says whether a number can be a rate.
-func rate(v float64) bool { return v >= 0 && !math.IsInf(v, 0) }
+// isRate reports whether a number can be a rate.
+func isRate(v float64) bool { return v >= 0 && !math.IsInf(v, 0) }
