--- a/coordination/lease/lease.go
+++ b/coordination/lease/lease.go
@@ -1,5 +1,5 @@
-// Package lease elects the daemon that may order runners. The lease is one
-// object of the platform's store, changed by conditional updates only.
+// Package lease elects the daemon that may send orders to runners. The lease is one object of
+// the platform's store, which is changed by conditional updates only.
 package lease
 
 import (
@@ -18,116 +18,115 @@
 )
 
 const (
-	// validFor is how long after the sending of its last renewal a holder may
-	// act. It outlasts the store's usual outages of four to five seconds, in
-	// which nobody else could take over either.
+	// validFor is how long after sending its last renewal a holder may act. It outlasts the
+	// store's usual outages of four to five seconds, in which no other daemon could take
+	// over either.
 	validFor = 5 * time.Second
-	// takeAfter is how long a lease must stand unchanged before another daemon
-	// takes it; the difference covers clocks that run at different speeds.
-	takeAfter = validFor + 300*time.Millisecond
-	// renewEvery lets five renewals fail before the lease runs out.
-	renewEvery = 800 * time.Millisecond
-	checkEvery = 200 * time.Millisecond
-	callLimit  = 1500 * time.Millisecond
-	// askEvery is how often a daemon that has just started asks for the lease until
-	// the store answers: all of a fleet may start during an outage.
-	askEvery = time.Second
-	// firstWait is in which time daemons that start together create the lease.
-	firstWait = 600 * time.Millisecond
-	// freshFor is how long after a renewal the holder is left alone. Then the
-	// others begin to watch the object, so that the lease changes hands as soon
-	// as it has run out: one renewal and its answer may be lost before.
-	freshFor = 1800 * time.Millisecond
-	// orderMargin is added to the pause between two holders' orders for an
-	// order of the first that is still on its way.
+	// takeoverAfter is how long the lease must be unchanged before another daemon takes it.
+	// The difference to validFor covers clocks that run at different speeds.
+	takeoverAfter = validFor + 300*time.Millisecond
+	// renewInterval lets five renewals fail before the lease expires.
+	renewInterval = 800 * time.Millisecond
+	stepInterval  = 200 * time.Millisecond
+	callTimeout   = 1500 * time.Millisecond
+	// initialReadInterval is how often a daemon that has just started reads the lease until
+	// the store answers: all daemons of a fleet may start during an outage.
+	initialReadInterval = time.Second
+	// maxCreateDelay bounds the random delay before a daemon creates the lease, which
+	// spreads out daemons that start together.
+	maxCreateDelay = 600 * time.Millisecond
+	// freshWindow is how long after a renewal the other daemons leave the lease alone. Then
+	// they begin to watch the object, so that the lease changes hands as soon as it has
+	// expired. Within the window, one renewal and its answer may be lost.
+	freshWindow = 1800 * time.Millisecond
+	// orderMargin is added to the pause between the orders of two holders, for an order of
+	// the first one that is still in transit.
 	orderMargin = 200 * time.Millisecond
 )
 
-// record is the lease as it lies in the store.
+// record is the lease as stored.
 type record struct {
-	Holder string `json:"holder"` // empty: given back
-	Term   uint64 `json:"term"`   // grows with every change of holder or start
-	Count  uint64 `json:"count"`  // grows with every renewal
-	// Idle is how long ago the last order was sent when the lease was given
-	// back.
+	Holder string `json:"holder"` // empty: released
+	Term   uint64 `json:"term"`   // incremented when the holder changes or restarts
+	Count  uint64 `json:"count"`  // incremented by every renewal
+	// Idle is the time from the last order to the release of the lease.
 	Idle core.Duration `json:"idle"`
 }
 
-// Rival is the daemon that holds the lease, as another one sees it.
+// Rival is the daemon that holds the lease, as seen by another one.
 type Rival interface {
-	// Fresh says whether another daemon has renewed the lease lately.
+	// Fresh reports whether another daemon has renewed the lease recently.
 	Fresh() bool
-	// AskYield asks the holder of a term to stop, and returns how long ago it
-	// sent its last order.
+	// AskYield requests the holder of a term to give it up. If it does, ok is true and idle
+	// is how long ago it sent its last order.
 	AskYield(ctx context.Context, term uint64) (idle time.Duration, ok bool)
 }
 
 // Lease is one daemon's view of the lease.
 type Lease struct {
-	store core.Platform
-	kind  string
-	name  string
-	self  string
-	pause time.Duration // between the orders of two holders
-	clock core.Clock
-	boot  func() time.Duration
-	log   *zap.Logger
-	rival Rival
-	may   func() bool // whether this daemon should take over from another
+	store         core.Platform
+	kind          string
+	name          string
+	self          string
+	handoverPause time.Duration // minimum between the orders of two holders
+	clock         core.Clock
+	bootTime      func() time.Duration
+	log           *zap.Logger
+	holder        Rival
+	isCandidate   func() bool // whether this daemon should take over from another
 
-	mu      sync.Mutex
-	object  core.Object
-	record  record
-	held    bool
-	renewed time.Duration // boot time at which the last renewal was sent
-	actFrom time.Duration // boot time from which orders may be sent
-	used    time.Duration // boot time of the last order
-	seen    time.Duration // boot time at which object was first seen as it is
-	asked   time.Duration // boot time at which the object was last read
+	mu             sync.Mutex
+	object         core.Object
+	record         record
+	held           bool
+	renewedAt      time.Duration // boot time at which the last renewal was sent
+	actFrom        time.Duration // boot time from which orders may be sent
+	lastOrderAt    time.Duration // boot time of the last order
+	unchangedSince time.Duration // boot time at which the current version of object was first read
+	lastReadAt     time.Duration // boot time at which the object was last read
 
-	wg   sync.WaitGroup
-	stop context.CancelFunc
+	wg     sync.WaitGroup
+	cancel context.CancelFunc
 }
 
-// Option changes a Lease.
+// Option configures a Lease.
 type Option func(*Lease)
 
-// WithBoot sets the clock that counts suspended time too.
-func WithBoot(fn func() time.Duration) Option { return func(l *Lease) { l.boot = fn } }
+// WithBootTime sets the clock, which must include the time that the VM is suspended.
+func WithBootTime(fn func() time.Duration) Option { return func(l *Lease) { l.bootTime = fn } }
 
-// WithCandidate sets what tells whether this daemon should take the lease over from
-// another one. All others asking the store for a silent holder's lease again and
-// again were a thousand calls in an outage. Its own lease, from before a restart, a
-// daemon takes in any case.
-func WithCandidate(fn func() bool) Option { return func(l *Lease) { l.may = fn } }
+// WithCandidate sets the function that decides whether this daemon should take the lease over
+// from another one. When every daemon could take over, all of them read a silent holder's lease
+// from the store again and again, a thousand calls in one outage. A daemon takes its own lease,
+// from before a restart, in any case.
+func WithCandidate(fn func() bool) Option { return func(l *Lease) { l.isCandidate = fn } }
 
-// New makes a Lease. pause is the least time between the orders of two
-// holders.
-func New(store core.Platform, kind, name, self string, pause time.Duration, rival Rival, clock core.Clock, log *zap.Logger, opts ...Option) *Lease {
-	l := &Lease{store: store, kind: kind, name: name, self: self, pause: pause, rival: rival, clock: clock, boot: BootTime, log: log, may: func() bool { return true }}
+// New returns a Lease. pause is the minimum time between the orders of two holders.
+func New(store core.Platform, kind, name, self string, pause time.Duration, holder Rival, clock core.Clock, log *zap.Logger, opts ...Option) *Lease {
+	l := &Lease{store: store, kind: kind, name: name, self: self, handoverPause: pause, holder: holder, clock: clock, bootTime: BootTime, log: log, isCandidate: func() bool { return true }}
 	for _, o := range opts {
 		o(l)
 	}
 	return l
 }
 
-// Start begins to take part.
+// Start starts acquiring and renewing the lease in the background.
 func (l *Lease) Start() {
 	ctx, cancel := context.WithCancel(context.Background())
-	l.stop = cancel
+	l.cancel = cancel
 	l.wg.Add(1)
 	go l.run(ctx)
 }
 
-// Stop gives the lease back if it is held.
+// Stop ends the work that Start began, and releases the lease if it is held.
 func (l *Lease) Stop(ctx context.Context) {
-	l.stop()
+	l.cancel()
 	l.wg.Wait()
 	l.mu.Lock()
 	held := l.held
 	l.held = false
 	next := l.record
-	next.Idle = core.Duration(l.boot() - l.used)
+	next.Idle = core.Duration(l.bootTime() - l.lastOrderAt)
 	l.mu.Unlock()
 	if !held {
 		return
@@ -144,89 +143,89 @@
 func (l *Lease) Term() (uint64, bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.term(l.boot())
+	return l.currentTerm(l.bootTime())
 }
 
-// Use is Term for an order that is sent at once.
+// Use returns the same as Term, and records that an order is sent now.
 func (l *Lease) Use() (uint64, bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	now := l.boot()
-	term, ok := l.term(now)
+	now := l.bootTime()
+	term, ok := l.currentTerm(now)
 	if ok {
-		l.used = now
+		l.lastOrderAt = now
 	}
 	return term, ok
 }
 
-func (l *Lease) term(now time.Duration) (uint64, bool) {
-	if !l.held || now >= l.renewed+validFor || now < l.actFrom {
+func (l *Lease) currentTerm(now time.Duration) (uint64, bool) {
+	if !l.held || now >= l.renewedAt+validFor || now < l.actFrom {
 		return 0, false
 	}
 	return l.record.Term, true
 }
 
-// Yield gives a term up for another daemon that reaches the store, which this
-// one does not: its renewals fail. It returns how long ago the last order was
-// sent.
+// Yield gives up a term for another daemon that reaches the store, if this one does not: its
+// renewals fail. It returns how long ago the last order was sent; ok is false if the lease is in
+// another term or was renewed recently.
 func (l *Lease) Yield(term uint64) (idle time.Duration, ok bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	now := l.boot()
-	if l.record.Term != term || l.held && now < l.renewed+freshFor {
+	now := l.bootTime()
+	if l.record.Term != term || l.held && now < l.renewedAt+freshWindow {
 		return 0, false
 	}
 	if l.held {
 		l.held = false
 		l.log.Warn(logs.LeaseYielded, zap.Uint64("term", term))
 	}
-	return now - l.used, true
+	return now - l.lastOrderAt, true
 }
 
-// Claim returns the term to tell others, 0 if the lease is not held, and
-// whether it was renewed lately.
+// Claim returns the term to announce to other daemons, 0 if the lease is not held, and whether
+// the lease was renewed recently.
 func (l *Lease) Claim() (term uint64, fresh bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	now := l.boot()
-	if !l.held || now >= l.renewed+validFor {
+	now := l.bootTime()
+	if !l.held || now >= l.renewedAt+validFor {
 		return 0, false
 	}
-	return l.record.Term, now < l.renewed+freshFor
+	return l.record.Term, now < l.renewedAt+freshWindow
 }
 
 func (l *Lease) run(ctx context.Context) {
 	defer l.wg.Done()
 	for ctx.Err() == nil {
-		call, cancel := context.WithTimeout(ctx, callLimit)
+		call, cancel := context.WithTimeout(ctx, callTimeout)
 		err := l.step(call)
 		cancel()
 		if err != nil && ctx.Err() == nil {
 			l.log.Info(logs.LeaseStepFailed, logs.Err(err))
 		}
-		core.Sleep(ctx, l.clock, checkEvery/2+rand.N(checkEvery))
+		core.Sleep(ctx, l.clock, stepInterval/2+rand.N(stepInterval))
 	}
 }
 
 func (l *Lease) step(ctx context.Context) error {
-	may := l.may() // which may ask for the lease's state
+	candidate := l.isCandidate() // called without the lock, as it may call methods of the lease
 	l.mu.Lock()
-	now := l.boot()
-	held, due := l.held, now >= l.renewed+renewEvery
+	now := l.bootTime()
+	held, due := l.held, now >= l.renewedAt+renewInterval
 	known := l.object.Version > 0
-	waits := known && !may || !known && l.asked > 0 && now < l.asked+askEvery
+	mustWait := known && !candidate || !known && l.lastReadAt > 0 && now < l.lastReadAt+initialReadInterval
 	l.mu.Unlock()
 	switch {
 	case held && due:
 		return l.renew(ctx)
-	case held || l.rival.Fresh() || waits:
+	case held || l.holder.Fresh() || mustWait:
 		return nil
 	default:
-		return l.tryTake(ctx)
+		return l.tryAcquire(ctx)
 	}
 }
 
-// renew extends the lease. A conflict shows that another daemon has it.
+// renew extends the lease. A conflict shows that another daemon has taken it.
 func (l *Lease) renew(ctx context.Context) error {
 	l.mu.Lock()
 	next := l.record
@@ -242,8 +241,8 @@
 	return err
 }
 
-// write stores a record over the version held and takes in the outcome. The
-// time that counts is that of the sending: the answer may be late.
+// write stores a record in place of the known version, and keeps the result. The lease is valid
+// from the time of sending, as the answer may be late.
 func (l *Lease) write(ctx context.Context, next record) error {
 	l.mu.Lock()
 	object := l.object
@@ -253,7 +252,7 @@
 		return eris.Wrap(err, "lease")
 	}
 	object.Kind, object.Name, object.Body = l.kind, l.name, body
-	sent := l.boot()
+	sent := l.bootTime()
 	var stored core.Object
 	if object.Version == 0 {
 		stored, err = l.store.Create(ctx, object)
@@ -265,69 +264,69 @@
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.object, l.record, l.renewed = stored, next, sent
+	l.object, l.record, l.renewedAt = stored, next, sent
 	return nil
 }
 
-// tryTake takes the lease if it is free, was this VM's own before a
-// restart, or has stood unchanged for too long.
-func (l *Lease) tryTake(ctx context.Context) error {
+// tryAcquire takes the lease if it is free, was this daemon's own before a restart, has been
+// unchanged for takeoverAfter, or if the holder yields it.
+func (l *Lease) tryAcquire(ctx context.Context) error {
 	l.mu.Lock()
-	l.asked = l.boot()
+	l.lastReadAt = l.bootTime()
 	l.mu.Unlock()
 	object, err := l.store.Get(ctx, l.kind, l.name)
 	if errors.Is(err, core.ErrNotFound) {
-		// All start for the first time: one is enough to create it.
-		if !l.may() {
+		// The whole fleet starts for the first time: one daemon is enough to create the lease.
+		if !l.isCandidate() {
 			return nil
 		}
-		core.Sleep(ctx, l.clock, rand.N(firstWait))
-		if l.rival.Fresh() {
+		core.Sleep(ctx, l.clock, rand.N(maxCreateDelay))
+		if l.holder.Fresh() {
 			return nil
 		}
-		return l.take(ctx, core.Object{}, record{}, 0)
+		return l.acquire(ctx, core.Object{}, record{}, 0)
 	}
 	if err != nil {
 		return err
 	}
-	var was record
-	if err := json.Unmarshal(object.Body, &was); err != nil {
+	var previous record
+	if err := json.Unmarshal(object.Body, &previous); err != nil {
 		return eris.Wrap(core.ErrInvalid, "lease: "+err.Error())
 	}
-	now := l.boot()
+	now := l.bootTime()
 	l.mu.Lock()
 	if l.object.Version != object.Version {
-		l.object, l.record, l.seen = object, was, now
+		l.object, l.record, l.unchangedSince = object, previous, now
 	}
-	stands := now - l.seen
+	unchanged := now - l.unchangedSince
 	l.mu.Unlock()
 	switch {
-	case was.Holder == l.self:
-		return l.take(ctx, object, was, 0)
-	case was.Holder == "":
-		return l.take(ctx, object, was, l.waitAfter(time.Duration(was.Idle)))
-	case stands >= takeAfter:
-		return l.take(ctx, object, was, l.waitAfter(stands-validFor))
+	case previous.Holder == l.self:
+		return l.acquire(ctx, object, previous, 0)
+	case previous.Holder == "":
+		return l.acquire(ctx, object, previous, l.firstOrderDelay(time.Duration(previous.Idle)))
+	case unchanged >= takeoverAfter:
+		return l.acquire(ctx, object, previous, l.firstOrderDelay(unchanged-validFor))
 	}
-	if idle, ok := l.rival.AskYield(ctx, was.Term); ok {
-		return l.take(ctx, object, was, l.waitAfter(idle))
+	if idle, ok := l.holder.AskYield(ctx, previous.Term); ok {
+		return l.acquire(ctx, object, previous, l.firstOrderDelay(idle))
 	}
 	return nil
 }
 
-// waitAfter is how long a new holder waits with its first order when the one
-// before sent its last one at least idle ago.
-func (l *Lease) waitAfter(idle time.Duration) time.Duration {
-	return max(0, l.pause+orderMargin-idle)
+// firstOrderDelay returns how long a new holder delays its first order when the previous holder
+// sent its last one at least idle ago.
+func (l *Lease) firstOrderDelay(idle time.Duration) time.Duration {
+	return max(0, l.handoverPause+orderMargin-idle)
 }
 
-// take stores a new term. The holder before may have sent an order up to now,
-// so the first order of the new one waits.
-func (l *Lease) take(ctx context.Context, object core.Object, was record, wait time.Duration) error {
+// acquire stores a new term. The previous holder may have sent an order up to now, so the first
+// order of the new one is delayed.
+func (l *Lease) acquire(ctx context.Context, object core.Object, previous record, wait time.Duration) error {
 	l.mu.Lock()
 	l.object = object
 	l.mu.Unlock()
-	next := record{Holder: l.self, Term: was.Term + 1}
+	next := record{Holder: l.self, Term: previous.Term + 1}
 	err := l.write(ctx, next)
 	if errors.Is(err, core.ErrConflict) || errors.Is(err, core.ErrExists) || errors.Is(err, core.ErrOvertaken) {
 		return nil // another daemon was faster
@@ -336,8 +335,8 @@
 		return err
 	}
 	l.mu.Lock()
-	l.held, l.actFrom = true, l.boot()+wait
+	l.held, l.actFrom = true, l.bootTime()+wait
 	l.mu.Unlock()
-	l.log.Info(logs.LeaseTaken, zap.Uint64("term", next.Term), zap.String("before", was.Holder), zap.Duration("wait", wait))
+	l.log.Info(logs.LeaseTaken, zap.Uint64("term", next.Term), zap.String("before", previous.Holder), zap.Duration("wait", wait))
 	return nil
 }
