--- a/state/catalog/catalog.go
+++ b/state/catalog/catalog.go
@@ -1,4 +1,4 @@
-// Package catalog is what a daemon knows of the configuration and the runners.
+// Package catalog holds a daemon's view of the current configuration and of all runners.
 package catalog
 
 import (
@@ -11,70 +11,73 @@
 	"primroseward/core"
 )
 
-// Entry is a runner as the catalog knows it.
+// Entry is the catalog's record of one runner.
 type Entry struct {
 	core.Runner
-	Seen time.Time // when the description was taken in
-	// GoneAt is when a lapsed entry counts as gone; zero while it stands.
+	Seen time.Time // when the description was received
+	// GoneAt is when a lapsed entry counts as gone; zero if the entry has not lapsed.
 	GoneAt time.Time
-	// former is a description of an earlier life of the runner that was seen after
-	// one of this life, at formerAt.
-	former   *core.Runner
-	formerAt time.Time
+	// earlier is a description with an earlier start time than the one in effect. It was
+	// received after that one, first at earlierAt.
+	earlier   *core.Runner
+	earlierAt time.Time
 
-	learned map[learnedKey]learned
+	updates map[holdingKey]holdingUpdate
 }
 
-type learnedKey struct{ model, adapter string }
+// holdingKey identifies a model (adapter is empty) or an adapter of a model.
+type holdingKey struct{ model, adapter string }
 
-// learned is what was told of a runner beside its description.
-type learned struct {
+// holdingUpdate records, apart from the runner's description, whether the runner holds
+// a model or an adapter.
+type holdingUpdate struct {
 	held bool
 	at   time.Time
 }
 
-// modelMemory is how long what was learned of a model goes before a runner's
-// description, which lists models and comes every second or so.
-const modelMemory = 4 * time.Second
+// modelUpdateTTL is how long an update about a model overrides the runner's
+// description, which lists models and arrives about once a second.
+const modelUpdateTTL = 4 * time.Second
 
-// Usable says whether new work may go to the runner.
+// Usable reports whether the runner may get new work.
 func (e *Entry) Usable() bool { return !e.Draining }
 
-// Catalog holds the newest configuration and all runners. Readers take
-// snapshots that are never changed.
+// Catalog holds the newest configuration and all runners. Readers get immutable
+// snapshots.
 type Catalog struct {
 	config atomic.Pointer[core.Config]
 
 	mu       sync.RWMutex
 	entries  map[string]*Entry
 	services map[string]map[string]*Entry // entries by service
-	// lists and all are snapshots for readers, made anew when one is asked for after a
-	// change: a change of one runner must not touch all others.
-	lists map[string][]*Entry
-	all   map[string]*Entry
-	gone  func(core.Runner)
-	again func(core.Runner)
-	fresh func(*core.Config)
-	clock core.Clock
+	// lists and all are snapshots for readers. They are rebuilt on the first read after a
+	// change, so that the cost of a change to one runner does not depend on the number of
+	// runners.
+	lists     map[string][]*Entry
+	all       map[string]*Entry
+	onGone    func(core.Runner)
+	onRestart func(core.Runner)
+	onConfig  func(*core.Config)
+	clock     core.Clock
 }
 
-// Option changes a Catalog.
+// Option configures a Catalog.
 type Option func(*Catalog)
 
-// WithGone calls fn for each runner that is gone.
-func WithGone(fn func(core.Runner)) Option { return func(c *Catalog) { c.gone = fn } }
+// WithGone sets a function that is called for each runner that is gone.
+func WithGone(fn func(core.Runner)) Option { return func(c *Catalog) { c.onGone = fn } }
 
-// WithRestarted calls fn for each runner that has started again under its id, as it
-// was before.
-func WithRestarted(fn func(core.Runner)) Option { return func(c *Catalog) { c.again = fn } }
+// WithRestarted sets a function that is called for each runner that has restarted under
+// its id. Its argument is the runner as it was before the restart.
+func WithRestarted(fn func(core.Runner)) Option { return func(c *Catalog) { c.onRestart = fn } }
 
-// WithConfig calls fn for each configuration that comes in force.
-func WithConfig(fn func(*core.Config)) Option { return func(c *Catalog) { c.fresh = fn } }
+// WithConfig sets a function that is called for each configuration that comes into force.
+func WithConfig(fn func(*core.Config)) Option { return func(c *Catalog) { c.onConfig = fn } }
 
 // New returns an empty catalog.
 func New(clock core.Clock, opts ...Option) *Catalog {
 	c := &Catalog{
-		clock: clock, entries: map[string]*Entry{}, services: map[string]map[string]*Entry{}, lists: map[string][]*Entry{}, gone: func(core.Runner) {}, again: func(core.Runner) {}, fresh: func(*core.Config) {},
+		clock: clock, entries: map[string]*Entry{}, services: map[string]map[string]*Entry{}, lists: map[string][]*Entry{}, onGone: func(core.Runner) {}, onRestart: func(core.Runner) {}, onConfig: func(*core.Config) {},
 	}
 	for _, o := range opts {
 		o(c)
@@ -82,30 +85,31 @@
 	return c
 }
 
-// Config returns the newest configuration, nil before the first is known.
+// Config returns the newest configuration, or nil before the first one arrives.
 func (c *Catalog) Config() *core.Config { return c.config.Load() }
 
-// SetConfig takes in a configuration unless it is older than the one held. A
-// late answer of the store must not bring an old version back.
+// SetConfig stores a configuration if its version is higher than that of the current
+// one, and reports whether it did. A late response of the store must not bring back an
+// old version.
 func (c *Catalog) SetConfig(next *core.Config) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if held := c.config.Load(); held != nil && held.Version >= next.Version {
+	if current := c.config.Load(); current != nil && current.Version >= next.Version {
 		return false
 	}
 	c.config.Store(next)
-	c.fresh(next)
+	c.onConfig(next)
 	return true
 }
 
-// Runner returns a runner by its instance's id, nil if it is not known.
+// Runner returns the entry of a runner by its id, or nil if there is none.
 func (c *Catalog) Runner(id string) *Entry {
 	c.mu.RLock()
 	defer c.mu.RUnlock()
 	return c.entries[id]
 }
 
-// Runners returns all runners of a service, those that leave included.
+// Runners returns all runners of a service, including those that are draining.
 func (c *Catalog) Runners(service string) []*Entry {
 	c.mu.RLock()
 	list, ok := c.lists[service]
@@ -134,56 +138,59 @@
 	return c.all
 }
 
-// formerPatience is how long the description of an earlier life must stand before
-// it goes before that of a later one. A process that has ended may still have a
-// write on its way, which the runner's next heartbeat replaces, within 1.2 s; but a
-// runner whose clock was set back before it started again is told of by nothing else.
-const formerPatience = 3 * time.Second
-
-// Put takes in a runner's description. What has been learned since holds on:
-// a description is up to a second old, and leaves most adapters out. Of a runner
-// that has started again nothing holds on: it has none of what it had, and requests
-// sent by what was known would be rejected by it, each one at the budget's cost.
+// earlierGrace is the time after which a description with an earlier start time than the
+// one in effect replaces it, unless another description with the later start time arrives
+// before. A process that has exited may still have a write under way, which the runner's
+// next heartbeat replaces within 1.2 s. But if a runner's clock was set back before the
+// runner restarted, its new instance has the earlier start time and nothing else
+// announces it.
+const earlierGrace = 3 * time.Second
+
+// Put stores a runner's description. Holding updates stay in effect, since a
+// description is up to a second old and omits most adapters. When the runner has
+// restarted, they are discarded: the new instance holds nothing of what the old one
+// held, and requests sent because of the old state would be rejected, each at the
+// cost of the retry budget.
 func (c *Catalog) Put(r core.Runner, now time.Time) {
 	c.mu.Lock()
 	old := c.entries[r.ID]
 	if old != nil && r.Born.Before(old.Born) {
-		c.putFormer(old, r, now)
+		c.putEarlier(old, r, now)
 		c.mu.Unlock()
 		return
 	}
 	restarted := c.put(old, r, now)
 	c.mu.Unlock()
 	if restarted {
-		c.again(old.Runner)
+		c.onRestart(old.Runner)
 	}
 }
 
-// put replaces a runner's description and says whether it is one of another life;
-// the caller holds the lock.
+// put replaces a runner's description and reports whether the new one is of another
+// instance. The caller holds the lock.
 func (c *Catalog) put(old *Entry, r core.Runner, now time.Time) (restarted bool) {
 	e := &Entry{Runner: r, Seen: now}
 	restarted = old != nil && !r.Born.Equal(old.Born)
 	if old != nil && !restarted {
-		e.learned = old.learned
+		e.updates = old.updates
 	}
 	e.apply(now)
 	c.set(e)
 	return restarted
 }
 
-// putFormer keeps the description of an earlier life; the caller holds the lock.
-func (c *Catalog) putFormer(old *Entry, r core.Runner, now time.Time) {
+// putEarlier records a description with an earlier start time than the one in effect. The caller holds the lock.
+func (c *Catalog) putEarlier(old *Entry, r core.Runner, now time.Time) {
 	next := *old
-	if next.former == nil || !next.former.Born.Equal(r.Born) {
-		next.formerAt = now
+	if next.earlier == nil || !next.earlier.Born.Equal(r.Born) {
+		next.earlierAt = now
 	}
-	next.former, next.GoneAt = &r, time.Time{}
+	next.earlier, next.GoneAt = &r, time.Time{}
 	c.set(&next)
 }
 
-// Lapse marks a runner whose entry is missing. It counts as gone at goneAt,
-// unless its entry comes back before.
+// Lapse marks a runner whose entry is missing in the store. The runner counts as gone
+// at goneAt unless its entry reappears before then.
 func (c *Catalog) Lapse(id string, goneAt time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -196,15 +203,15 @@
 	c.set(&lapsed)
 }
 
-// Sweep removes the runners that count as gone by now and returns how many. It also
-// takes in descriptions of earlier lives that have stood for long enough.
+// Sweep removes the runners whose GoneAt has passed and returns how many it removed. It
+// also puts descriptions with an earlier start time into effect after earlierGrace.
 func (c *Catalog) Sweep(now time.Time) int {
 	c.mu.Lock()
-	var gone, again []core.Runner
+	var gone, restarted []core.Runner
 	for id, e := range c.entries {
-		if e.former != nil && now.Sub(e.formerAt) >= formerPatience {
-			c.put(e, *e.former, now)
-			again = append(again, e.Runner)
+		if e.earlier != nil && now.Sub(e.earlierAt) >= earlierGrace {
+			c.put(e, *e.earlier, now)
+			restarted = append(restarted, e.Runner)
 			continue
 		}
 		if !e.GoneAt.IsZero() && !now.Before(e.GoneAt) {
@@ -214,15 +221,16 @@
 	}
 	c.mu.Unlock()
 	for _, r := range gone {
-		c.gone(r)
+		c.onGone(r)
 	}
-	for _, r := range again {
-		c.again(r)
+	for _, r := range restarted {
+		c.onRestart(r)
 	}
 	return len(gone)
 }
 
-// Learn takes in that a runner has, or has no longer, a model or an adapter.
+// Learn records that a runner holds, or no longer holds, a model or an adapter. For a
+// model, adapter is empty.
 func (c *Catalog) Learn(id, model, adapter string, held bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -232,27 +240,28 @@
 	}
 	now := c.clock.Now()
 	next := *e
-	next.learned = make(map[learnedKey]learned, len(e.learned)+1)
-	maps.Copy(next.learned, e.learned)
-	next.learned[learnedKey{model, adapter}] = learned{held: held, at: now}
+	next.updates = make(map[holdingKey]holdingUpdate, len(e.updates)+1)
+	maps.Copy(next.updates, e.updates)
+	next.updates[holdingKey{model, adapter}] = holdingUpdate{held: held, at: now}
 	next.apply(now)
 	c.set(&next)
 }
 
-// apply lays what was learned over the description.
+// apply overlays the holding updates on the description and drops updates of models that
+// are older than modelUpdateTTL.
 func (e *Entry) apply(now time.Time) {
-	for key, l := range e.learned {
-		if key.adapter == "" && now.Sub(l.at) > modelMemory {
-			delete(e.learned, key)
+	for key, u := range e.updates {
+		if key.adapter == "" && now.Sub(u.at) > modelUpdateTTL {
+			delete(e.updates, key)
 			continue
 		}
 		if key.adapter == "" {
-			e.Holdings = withModel(e.Holdings, key.model, l.held)
+			e.Holdings = withModel(e.Holdings, key.model, u.held)
 		}
 	}
-	for key, l := range e.learned {
+	for key, u := range e.updates {
 		if key.adapter != "" {
-			e.Holdings = withAdapter(e.Holdings, key.model, key.adapter, l.held)
+			e.Holdings = withAdapter(e.Holdings, key.model, key.adapter, u.held)
 		}
 	}
 }
@@ -291,7 +300,7 @@
 	return out
 }
 
-// set keeps an entry in the place of the one of its runner; the caller holds the lock.
+// set replaces the entry of a runner. The caller holds the lock.
 func (c *Catalog) set(e *Entry) {
 	c.drop(e.ID)
 	c.entries[e.ID] = e
@@ -302,7 +311,7 @@
 	delete(c.lists, e.Service)
 }
 
-// drop forgets an entry; the caller holds the lock.
+// drop removes an entry. The caller holds the lock.
 func (c *Catalog) drop(id string) {
 	c.all = nil
 	old := c.entries[id]
--- a/state/catalog/catalog_test.go
+++ b/state/catalog/catalog_test.go
@@ -13,8 +13,8 @@
 	"primroseward/core"
 )
 
-// A dropped route works again for a moment: a late answer of the store brings an
-// older configuration after a newer one.
+// Guards against a removed route that works again for a moment because a late response
+// of the store delivers an older configuration after a newer one.
 func TestConfigNeverGoesBack(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		c := New(clockwork.NewFakeClock())
@@ -28,9 +28,9 @@
 	})
 }
 
-// Each daemon asks the holder again for an adapter after every heartbeat: the
-// runner's description leaves adapters out that were loaded since.
-func TestLearnedAdapterOutlivesADescription(t *testing.T) {
+// Guards against daemons that request an adapter from the holder again after every
+// heartbeat because the runner's description omits adapters that were loaded since.
+func TestAdapterUpdateOutlivesADescription(t *testing.T) {
 	clock := clockwork.NewFakeClock()
 	c := New(clock)
 	r := core.Runner{ID: "r1", Service: "s", Holdings: []core.Holding{{Model: "m"}}}
@@ -42,13 +42,13 @@
 	c.Learn("r1", "m", "a1", false)
 	c.Put(r, clock.Now())
 	assert.Assert(t, !c.Runner("r1").HoldsAdapter("m", "a1"))
-	assert.Equal(t, len(r.Holdings[0].Adapters), 0, "the description itself was changed")
+	assert.Equal(t, len(r.Holdings[0].Adapters), 0, "the caller's description was modified")
 }
 
-// Requests are rejected for a second after an unload was ordered, and a new copy
-// stands idle for a second: descriptions come late. What was learned of a model
-// goes before them for a while, and not longer.
-func TestLearnedModelGoesBeforeOldDescriptions(t *testing.T) {
+// Descriptions arrive up to a second late. Without model updates, requests are rejected
+// for a second after an unload order, and a new replica stays idle for a second. An update
+// must override descriptions for modelUpdateTTL and no longer.
+func TestModelUpdateOverridesOldDescriptions(t *testing.T) {
 	clock := clockwork.NewFakeClock()
 	c := New(clock)
 	r := core.Runner{ID: "r1", Service: "s", Holdings: []core.Holding{{Model: "old"}}}
@@ -57,11 +57,12 @@
 	c.Learn("r1", "new", "", true)
 	c.Put(r, clock.Now())
 	assert.Assert(t, !c.Runner("r1").Holds("old") && c.Runner("r1").Holds("new"))
-	clock.Advance(modelMemory + time.Second)
+	clock.Advance(modelUpdateTTL + time.Second)
 	c.Put(r, clock.Now())
 	assert.Assert(t, c.Runner("r1").Holds("old") && !c.Runner("r1").Holds("new"))
 }
 
+// A lapsed runner is removed at its GoneAt unless a description arrives before.
 func TestLapse(t *testing.T) {
 	clock := clockwork.NewFakeClock()
 	var gone []string
@@ -70,7 +71,7 @@
 		c.Put(core.Runner{ID: id, Service: "s"}, clock.Now())
 		c.Lapse(id, clock.Now().Add(time.Second))
 	}
-	c.Put(core.Runner{ID: "r1", Service: "s"}, clock.Now()) // is back
+	c.Put(core.Runner{ID: "r1", Service: "s"}, clock.Now()) // its entry reappears
 	assert.Equal(t, c.Sweep(clock.Now()), 0)
 	clock.Advance(time.Second)
 	assert.Equal(t, c.Sweep(clock.Now()), 1)
@@ -79,68 +80,71 @@
 	assert.Assert(t, slices.ContainsFunc(c.Runners("s"), func(e *Entry) bool { return e.ID == "r1" }))
 }
 
-// Requests are rejected one after the other: a runner has started again under its id
-// and holds nothing, while the daemon still goes by what it has learned of its former
-// life.
+// Guards against a series of rejected requests after a runner has restarted under its id:
+// the new instance holds nothing, but the daemon still uses holding updates of the
+// previous instance.
 func TestNothingHoldsOnAcrossARestart(t *testing.T) {
 	clock := clockwork.NewFakeClock()
-	var again []core.Runner
-	c := New(clock, WithRestarted(func(r core.Runner) { again = append(again, r) }))
+	var restarted []core.Runner
+	c := New(clock, WithRestarted(func(r core.Runner) { restarted = append(restarted, r) }))
 	born := clock.Now()
-	life := func(at time.Time, models ...string) core.Runner {
+	instance := func(at time.Time, models ...string) core.Runner {
 		r := core.Runner{ID: "r1", Service: "s", Born: at}
 		for _, m := range models {
 			r.Holdings = append(r.Holdings, core.Holding{Model: m})
 		}
 		return r
 	}
-	c.Put(life(born, "m"), clock.Now())
+	c.Put(instance(born, "m"), clock.Now())
 	c.Learn("r1", "m", "a1", true)
 	c.Learn("r1", "n", "", true)
-	c.Put(life(born, "m"), clock.Now())
-	assert.Equal(t, len(again), 0, "the same life again")
-	for i := range 2 { // twice within a second
+	c.Put(instance(born, "m"), clock.Now())
+	assert.Equal(t, len(restarted), 0, "a description of the same instance")
+	for i := range 2 { // two restarts within a second
 		at := born.Add(time.Duration(i+1) * 300 * time.Millisecond)
-		c.Put(life(at, "m"), clock.Now())
-		assert.Equal(t, len(again), i+1)
+		c.Put(instance(at, "m"), clock.Now())
+		assert.Equal(t, len(restarted), i+1)
 		e := c.Runner("r1")
 		assert.Assert(t, e.Born.Equal(at) && !e.HoldsAdapter("m", "a1") && !e.Holds("n"))
 	}
-	assert.Assert(t, again[0].Born.Equal(born), "told of is the life that ended")
+	assert.Assert(t, restarted[0].Born.Equal(born), "the callback must get the instance that exited")
 }
 
-// The same, and the runner is lost for good: the last write of its former life comes
-// after the first of the new one, in a list, a watch or a copy of another daemon. Or
-// its clock was set back before it started again, and nothing else will ever be told.
+// Guards against losing a restarted runner for good. The last write of its previous
+// instance can arrive after the first one of the new instance, through a list, a watch or
+// a snapshot of another daemon, and must not replace it. But if the runner's clock was set
+// back before the restart, the description with the earlier start time is that of the new
+// instance, and no other will ever arrive.
 func TestFormerLifeSeenAfterTheNewOne(t *testing.T) {
 	clock := clockwork.NewFakeClock()
-	var again []core.Runner
-	c := New(clock, WithRestarted(func(r core.Runner) { again = append(again, r) }))
+	var restarted []core.Runner
+	c := New(clock, WithRestarted(func(r core.Runner) { restarted = append(restarted, r) }))
 	late, early := clock.Now().Add(time.Second), clock.Now()
 	c.Put(core.Runner{ID: "r1", Service: "s", Born: late}, clock.Now())
-	former := core.Runner{ID: "r1", Service: "s", Born: early, Holdings: []core.Holding{{Model: "m"}}}
+	earlier := core.Runner{ID: "r1", Service: "s", Born: early, Holdings: []core.Holding{{Model: "m"}}}
 	for range 3 {
-		c.Put(former, clock.Now())
+		c.Put(earlier, clock.Now())
 		clock.Advance(time.Second / 2)
 		c.Sweep(clock.Now())
 		assert.Assert(t, !c.Runner("r1").Holds("m"))
 	}
 	c.Put(core.Runner{ID: "r1", Service: "s", Born: late}, clock.Now()) // its heartbeat
-	clock.Advance(formerPatience)
+	clock.Advance(earlierGrace)
 	c.Sweep(clock.Now())
-	assert.Assert(t, c.Runner("r1").Born.Equal(late), "a late write has replaced the runner")
-	assert.Equal(t, len(again), 0)
-	c.Put(former, clock.Now())
-	clock.Advance(formerPatience / 2)
-	c.Put(former, clock.Now())
-	clock.Advance(formerPatience / 2)
+	assert.Assert(t, c.Runner("r1").Born.Equal(late), "a late write of the previous instance replaced the new one")
+	assert.Equal(t, len(restarted), 0)
+	c.Put(earlier, clock.Now())
+	clock.Advance(earlierGrace / 2)
+	c.Put(earlier, clock.Now())
+	clock.Advance(earlierGrace / 2)
 	c.Sweep(clock.Now())
-	assert.Assert(t, c.Runner("r1").Born.Equal(early) && c.Runner("r1").Holds("m"), "never taken in")
-	assert.Equal(t, len(again), 1)
+	assert.Assert(t, c.Runner("r1").Born.Equal(early) && c.Runner("r1").Holds("m"), "the description with the earlier start time never took effect")
+	assert.Equal(t, len(restarted), 1)
 }
 
-// Daemons of large fleets have no time left for requests: each change of one runner
-// touched all of them again.
+// Guards against daemons of large fleets that have no time left for requests because each
+// change of one runner rebuilds the records of all runners. The allocations per change
+// must not grow with the fleet.
 func TestCostOfAChangeInALargeFleet(t *testing.T) {
 	cost := func(runners int) float64 {
 		clock := clockwork.NewFakeClock()
--- a/state/queue/queue.go
+++ b/state/queue/queue.go
@@ -1,7 +1,7 @@
-// Package queue orders the requests that wait for a runner: by class, first
-// tries before retries, earliest deadline first. It also tells how long a new
-// request would wait. Its cost per call does not grow with the classes' length
-// beyond a heap's logarithm.
+// Package queue orders the requests that wait for a runner: by class, then first
+// attempts before retries, then earliest deadline first. It also estimates how long a
+// new request would wait. The cost per call is logarithmic in the number of waiting
+// requests.
 package queue
 
 import (
@@ -11,8 +11,8 @@
 	"primroseward/core"
 )
 
-// ageStep is the time after which a waiting request counts as one class more
-// urgent, so that a steady stream of urgent work cannot starve batch work.
+// ageStep is the waiting time after which a request counts as one class more urgent,
+// so that a steady stream of urgent requests cannot starve batch requests.
 const ageStep = 2 * time.Minute
 
 // Item is one waiting request.
@@ -20,49 +20,51 @@
 	ID       string
 	Class    core.Class
 	Retry    bool
-	Deadline time.Time     // by which it should start
-	Cost     time.Duration // expected time in a slot
+	Deadline time.Time     // time by which it should start
+	Cost     time.Duration // expected slot time
 	Value    any
 
-	since time.Time
-	index int
+	since time.Time // when it was queued
+	index int       // position in its heap, -1 when removed
 }
 
-type line []*Item
+// requestHeap is a heap.Interface of the requests of one class.
+type requestHeap []*Item
 
-func (l line) Len() int { return len(l) }
+func (h requestHeap) Len() int { return len(h) }
 
-func (l line) Less(i, j int) bool {
-	if l[i].Retry != l[j].Retry {
-		return l[j].Retry
+func (h requestHeap) Less(i, j int) bool {
+	if h[i].Retry != h[j].Retry {
+		return h[j].Retry
 	}
-	return l[i].Deadline.Before(l[j].Deadline)
+	return h[i].Deadline.Before(h[j].Deadline)
 }
 
-func (l line) Swap(i, j int) {
-	l[i], l[j] = l[j], l[i]
-	l[i].index, l[j].index = i, j
+func (h requestHeap) Swap(i, j int) {
+	h[i], h[j] = h[j], h[i]
+	h[i].index, h[j].index = i, j
 }
 
-func (l *line) Push(x any) {
+func (h *requestHeap) Push(x any) {
 	item := x.(*Item)
-	item.index = len(*l)
-	*l = append(*l, item)
+	item.index = len(*h)
+	*h = append(*h, item)
 }
 
-func (l *line) Pop() any {
-	old := *l
+func (h *requestHeap) Pop() any {
+	old := *h
 	item := old[len(old)-1]
 	old[len(old)-1] = nil
-	*l = old[:len(old)-1]
+	*h = old[:len(old)-1]
 	item.index = -1
 	return item
 }
 
-// Queue is not safe for concurrent use; its owner's loop holds it.
+// Queue is a priority queue of waiting requests. It is not safe for concurrent use: only
+// the loop of its owner uses it.
 type Queue struct {
-	lines [3]line
-	cost  [3]time.Duration
+	heaps [3]requestHeap   // by class rank
+	cost  [3]time.Duration // sum of Item.Cost by class rank
 	byID  map[string]*Item
 }
 
@@ -72,28 +74,28 @@
 // Len returns the number of waiting requests.
 func (q *Queue) Len() int { return len(q.byID) }
 
-// Push adds an item. An id that waits already is refused.
+// Push adds an item and reports whether it did: an id that is already queued is refused.
 func (q *Queue) Push(item *Item, now time.Time) bool {
-	if _, twice := q.byID[item.ID]; twice {
+	if _, queued := q.byID[item.ID]; queued {
 		return false
 	}
 	item.since = now
 	rank := item.Class.Rank()
-	heap.Push(&q.lines[rank], item)
+	heap.Push(&q.heaps[rank], item)
 	q.cost[rank] += item.Cost
 	q.byID[item.ID] = item
 	return true
 }
 
-// Pop removes the next item to run; nil when none waits.
+// Pop removes and returns the next item to run, or nil if the queue is empty.
 func (q *Queue) Pop(now time.Time) *Item {
 	best := -1
 	bestRank := 0
-	for rank := range q.lines {
-		if len(q.lines[rank]) == 0 {
+	for rank := range q.heaps {
+		if len(q.heaps[rank]) == 0 {
 			continue
 		}
-		head := q.lines[rank][0]
+		head := q.heaps[rank][0]
 		aged := rank - int(now.Sub(head.since)/ageStep)
 		if best < 0 || aged < bestRank {
 			best, bestRank = rank, aged
@@ -102,12 +104,12 @@
 	if best < 0 {
 		return nil
 	}
-	item := q.lines[best][0]
+	item := q.heaps[best][0]
 	q.remove(item)
 	return item
 }
 
-// Remove takes out an item by id; nil when it does not wait.
+// Remove removes and returns an item by id, or returns nil if it is not queued.
 func (q *Queue) Remove(id string) *Item {
 	item := q.byID[id]
 	if item != nil {
@@ -118,13 +120,14 @@
 
 func (q *Queue) remove(item *Item) {
 	rank := item.Class.Rank()
-	heap.Remove(&q.lines[rank], item.index)
+	heap.Remove(&q.heaps[rank], item.index)
 	q.cost[rank] -= item.Cost
 	delete(q.byID, item.ID)
 }
 
-// Ahead returns the expected slot time of all that would run before a new item
-// of a class. Less urgent work does not count: it is passed over.
+// Ahead returns the expected slot time of all items that would run before a new item
+// of a class. Items of less urgent classes do not count, since the new item overtakes
+// them.
 func (q *Queue) Ahead(c core.Class) time.Duration {
 	var sum time.Duration
 	for rank := 0; rank <= c.Rank(); rank++ {
@@ -139,7 +142,7 @@
 	for _, item := range q.byID {
 		out = append(out, item)
 	}
-	q.lines = [3]line{}
+	q.heaps = [3]requestHeap{}
 	q.cost = [3]time.Duration{}
 	q.byID = map[string]*Item{}
 	return out
--- a/state/queue/queue_test.go
+++ b/state/queue/queue_test.go
@@ -15,8 +15,8 @@
 
 func TestMain(m *testing.M) { fuzz.Main(m, 500, 40) }
 
-// The queue's order is compared with a plain list that is sorted anew each
-// time.
+// The order of the queue is compared with that of a plain list that is sorted before
+// each comparison.
 func TestOrderAgainstList(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		q := New()
@@ -60,12 +60,12 @@
 					Cost:     time.Duration(rapid.IntRange(1, 9).Draw(t, "cost")),
 				}
 				assert.Assert(t, q.Push(item, now))
-				assert.Assert(t, !q.Push(item, now), "twice")
+				assert.Assert(t, !q.Push(item, now), "pushed twice")
 				list = append(list, item)
 			},
 			"remove": func(t *rapid.T) {
 				if len(list) == 0 {
-					t.Skip("empty")
+					t.Skip("queue is empty")
 				}
 				i := rapid.IntRange(0, len(list)-1).Draw(t, "item")
 				assert.Assert(t, q.Remove(list[i].ID) == list[i])
@@ -79,9 +79,9 @@
 				got := q.Pop(now)
 				i := slices.Index(list, got)
 				assert.Assert(t, i >= 0)
-				// Where the aged head of a line hides an older item behind it,
-				// the queue looks only at heads, so equal deadlines aside the
-				// class alone must agree.
+				// The queue looks only at the head of each heap, which may hide an
+				// item behind it that has waited longer. So only the class must
+				// agree, and not the item itself.
 				if list[0].since == got.since {
 					assert.Equal(t, got.Class, next().Class)
 				}
@@ -92,6 +92,8 @@
 	})
 }
 
+// Urgent requests overtake a batch request, but must not starve it: it runs once it has
+// aged to the urgent class.
 func TestUrgentFirstAndBatchNotStarved(t *testing.T) {
 	q := New()
 	now := time.Unix(1e9, 0)
@@ -102,12 +104,12 @@
 		q.Push(&Item{ID: id, Class: core.ClassUrgent, Deadline: now}, now)
 		got := q.Pop(now).ID
 		if got == "batch" {
-			assert.Assert(t, i >= 3, "too early: minute %d", i)
+			assert.Assert(t, i >= 3, "batch request ran too early, in minute %d", i)
 			return
 		}
 		assert.Equal(t, got, id)
 	}
-	t.Fatal("batch work starves")
+	t.Fatal("the batch request starves")
 }
 
 func BenchmarkPushPop(b *testing.B) {
