--- a/state/hold/hold_test.go
+++ b/state/hold/hold_test.go
@@ -22,26 +22,28 @@
 	return Record{Digest: digest(n), Version: version, State: StateHeld, Route: "r", Service: "s", Runners: 3, Since: until, Until: until}
 }
 
-func TestRecordOnTheWay(t *testing.T) {
+// A decoded record keeps the time left of its hold, whatever the clock of the reader says,
+// and damaged records are refused.
+func TestRecordIsDecoded(t *testing.T) {
 	now := time.Unix(1e9, 0)
 	r := Record{Digest: digest(1), Level: 1, Route: "r", Service: "s", Runners: 4}
 	r.Hold(now)
 	data, err := Encode(&r, now.Add(time.Minute))
 	assert.NilError(t, err)
 	for _, tt := range []struct {
-		name string
-		read func([]byte, time.Time) (*Record, error)
-		at   time.Duration
-		left time.Duration
+		name   string
+		decode func([]byte, time.Time) (*Record, error)
+		at     time.Duration // time of reading by the clock of the reader
+		left   time.Duration
 	}{
-		{"told at once", Told, time.Minute, 9 * time.Minute},
-		{"told to a daemon whose clock is an hour ahead", Told, time.Hour, 9 * time.Minute},
-		{"kept for three minutes", Stored, 3 * time.Minute, 7 * time.Minute},
-		{"kept until after its term", Stored, time.Hour, 0},
-		{"kept, and read by a clock that is an hour behind", Stored, -time.Hour, 10 * time.Minute},
+		{"received at once", Told, time.Minute, 9 * time.Minute},
+		{"received by a daemon whose clock is an hour ahead", Told, time.Hour, 9 * time.Minute},
+		{"stored for three minutes", Stored, 3 * time.Minute, 7 * time.Minute},
+		{"stored until after the hold expired", Stored, time.Hour, 0},
+		{"stored, and read by a daemon whose clock is an hour behind", Stored, -time.Hour, 10 * time.Minute},
 	} {
 		at := now.Add(tt.at)
-		got, err := tt.read(data, at)
+		got, err := tt.decode(data, at)
 		assert.NilError(t, err)
 		assert.Equal(t, got.Left(at), tt.left, tt.name)
 		assert.Equal(t, got.Digest, r.Digest)
@@ -53,6 +55,7 @@
 	}
 }
 
+// Merge keeps the latest decision, and Expire removes it after its retention.
 func TestTableMerges(t *testing.T) {
 	now := time.Unix(1e9, 0)
 	table := NewTable()
@@ -60,26 +63,26 @@
 	assert.Assert(t, !table.Merge(held(1, 1, now.Add(time.Minute))))
 	released := held(1, 0, now)
 	released.Release(ByWork, now)
-	assert.Assert(t, table.Merge(released), "of two decisions of one version the release")
+	assert.Assert(t, table.Merge(released), "of two decisions of one version the release must win")
 	assert.Assert(t, !table.Merge(held(1, 1, now)))
 	assert.Assert(t, table.Merge(held(1, 2, now)))
-	table.Expire(now.Add(heldMemory + time.Second))
+	table.Expire(now.Add(heldRetention + time.Second))
 	assert.Equal(t, table.Len(), 0)
 	assert.Equal(t, table.Sum(), uint64(0))
 }
 
 func TestTableIsBounded(t *testing.T) {
 	now, table := time.Unix(1e9, 0), NewTable()
-	for i := range uint64(most + 10) {
+	for i := range uint64(maxRecords + 10) {
 		table.Merge(held(i, 1, now.Add(time.Duration(i)*time.Second)))
 	}
-	assert.Equal(t, table.Len(), most)
+	assert.Equal(t, table.Len(), maxRecords)
 	_, ok := table.Get(digest(0))
-	assert.Assert(t, !ok, "the first to end goes first")
+	assert.Assert(t, !ok, "the record that expires first must be dropped first")
 }
 
-// Two daemons hear the same decisions in different orders, some of them twice. In the end
-// they hold the same, and their sums say so.
+// Two daemons receive the same decisions in different orders, some of them twice. In the
+// end they must hold the same records and have equal sums.
 func TestTablesAgreeInAnyOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		now := time.Unix(1e9, 0)
--- a/state/hold/record.go
+++ b/state/hold/record.go
@@ -1,5 +1,6 @@
-// Package hold keeps which requests are held back because runners ended under them. It
-// is the same at all daemons in the end: each record has a version, and the highest wins.
+// Package hold records which requests are held back because runners exited while they
+// ran them. The records of all daemons converge: each record has a version, and the
+// highest version wins.
 package hold
 
 import (
@@ -12,16 +13,17 @@
 	"primroseward/core"
 )
 
-// terms are how long a request is held back for the first, second and each further time.
-// After each one run is let through: a request that was blamed wrongly, or whose model has
-// been repaired, is served again, and one that ends a runner again is held for longer. The
-// first is short, as blame may be wrong; the second lasts longer than callers return.
-var terms = []time.Duration{5 * time.Second, 10 * time.Minute, time.Hour}
+// durations are how long a request is held back the first, the second and each further
+// time. When a hold expires, one trial is allowed. So a request that did not cause the
+// exits, or whose model has been repaired, is served again, and one under which another
+// runner exits is held for longer. The first duration is short because the request may not
+// be the cause. The second is longer than callers keep retrying.
+var durations = []time.Duration{5 * time.Second, 10 * time.Minute, time.Hour}
 
-// Term is how long a request is held back at a level, which counts from 0.
-func Term(level int) time.Duration { return terms[max(0, min(level, len(terms)-1))] }
+// Term returns how long a request is held back at a level. Levels count from 0.
+func Term(level int) time.Duration { return durations[max(0, min(level, len(durations)-1))] }
 
-// State is what a record says of its request.
+// State is the state of the request of a record.
 type State string
 
 // States of a request.
@@ -30,46 +32,46 @@
 	StateReleased State = "released"
 )
 
-// By tells who has released a request.
+// By is the reason for which a request was released.
 type By string
 
-// Reasons of a release.
+// Reasons for a release.
 const (
-	ByWork     By = "work"     // it was served
-	ByOperator By = "operator" // an operator said so
+	ByWork     By = "work"     // the request was served
+	ByOperator By = "operator" // an operator released it
 )
 
-// Record is what is known of one request that is or was held back. Of the request itself
-// it keeps a digest alone.
+// Record is the hold of one request that is or was held back. It identifies the request
+// only by its digest.
 type Record struct {
 	Digest  core.Digest
-	Version uint64 // of later decisions it is higher
+	Version uint64 // increases with each decision
 	State   State
-	By      By     // of a release
-	Level   int    // how often it was held back before
-	Route   string // on which it came
+	By      By     // reason of a release, else empty
+	Level   int    // number of earlier holds of the request
+	Route   string // route of the request
 	Service string
-	Runners int // that have ended under it
-	Since   time.Time
-	Until   time.Time // by this daemon's clock; then one run may be tried
+	Runners int       // runners that exited under the request
+	Since   time.Time // start of the latest hold
+	Until   time.Time // end of the hold by this daemon's clock; then one trial is allowed
 }
 
-// Left is how much longer the request is held back, 0 if one run may be tried.
+// Left returns how much longer the request is held back; 0 if a trial is allowed.
 func (r *Record) Left(now time.Time) time.Duration { return max(0, r.Until.Sub(now)) }
 
-// Hold makes the record the decision that the request is held back from now on.
+// Hold updates the record to a new decision: the request is held back from now on.
 func (r *Record) Hold(now time.Time) {
 	r.Version++
 	r.State, r.By, r.Since, r.Until = StateHeld, "", now, now.Add(Term(r.Level))
 }
 
-// Release makes the record the decision that the request is held back no longer.
+// Release updates the record to a new decision: the request is no longer held back.
 func (r *Record) Release(by By, now time.Time) {
 	r.Version++
 	r.State, r.By, r.Until = StateReleased, by, now
 }
 
-// sum is a hash of the decision that a record stands for.
+// sum returns a hash of the record's digest, version and state.
 func (r *Record) sum() uint64 {
 	var b [len(r.Digest) + 9]byte
 	copy(b[:], r.Digest[:])
@@ -82,8 +84,8 @@
 	return xxhash.Sum64(b[:])
 }
 
-// message is a record as daemons tell it and as the store keeps it.
-type message struct {
+// encodedRecord is the JSON form of a Record in messages between daemons and in the store.
+type encodedRecord struct {
 	Digest  core.Digest `json:"digest"`
 	Version uint64      `json:"version"`
 	State   State       `json:"state"`
@@ -93,44 +95,45 @@
 	Service string      `json:"service"`
 	Runners int         `json:"runners"`
 	Since   int64       `json:"since"` // Unix milliseconds
-	Until   int64       `json:"until"` // the same, by the clock of the writer
-	Left    int64       `json:"left"`  // milliseconds until then, when it was written
+	Until   int64       `json:"until"` // Unix milliseconds by the writer's clock
+	Left    int64       `json:"left"`  // milliseconds from the time of writing to Until
 }
 
-// Encode writes a record as of now.
+// Encode returns the JSON form of a record, with Left as of now.
 func Encode(r *Record, now time.Time) (json.RawMessage, error) {
-	return json.Marshal(message{
+	return json.Marshal(encodedRecord{
 		Digest: r.Digest, Version: r.Version, State: r.State, By: r.By, Level: r.Level, Route: r.Route, Service: r.Service,
 		Runners: r.Runners, Since: r.Since.UnixMilli(), Until: r.Until.UnixMilli(), Left: r.Left(now).Milliseconds(),
 	})
 }
 
-// Told reads a record that another daemon has just written. Its error is core.ErrInvalid.
+// Told decodes a record that another daemon has just sent. It computes Until from the
+// time left, so that clock differences do not matter. Its error is core.ErrInvalid.
 func Told(data []byte, now time.Time) (*Record, error) {
-	return decode(data, now, func(m *message) time.Duration { return milliseconds(m.Left) })
+	return decode(data, now, func(m *encodedRecord) time.Duration { return milliseconds(m.Left) })
 }
 
-// Stored reads a record that was written some time ago, by a clock that may differ from
-// this one. Its error is core.ErrInvalid.
+// Stored decodes a record that was written some time ago, by a clock that may differ from
+// this daemon's. It uses the stored Until. Its error is core.ErrInvalid.
 func Stored(data []byte, now time.Time) (*Record, error) {
-	return decode(data, now, func(m *message) time.Duration { return time.UnixMilli(m.Until).Sub(now) })
+	return decode(data, now, func(m *encodedRecord) time.Duration { return time.UnixMilli(m.Until).Sub(now) })
 }
 
 func milliseconds(n int64) time.Duration { return time.Duration(n) * time.Millisecond }
 
-func decode(data []byte, now time.Time, left func(*message) time.Duration) (*Record, error) {
-	var m message
+func decode(data []byte, now time.Time, left func(*encodedRecord) time.Duration) (*Record, error) {
+	var m encodedRecord
 	if err := json.Unmarshal(data, &m); err != nil {
-		return nil, eris.Wrapf(core.ErrInvalid, "record of a request: %v", err)
+		return nil, eris.Wrapf(core.ErrInvalid, "hold record: %v", err)
 	}
 	if m.State != StateHeld && m.State != StateReleased || m.Version == 0 {
-		return nil, eris.Wrapf(core.ErrInvalid, "record of a request: state %q, version %d", m.State, m.Version)
+		return nil, eris.Wrapf(core.ErrInvalid, "hold record: state %q, version %d", m.State, m.Version)
 	}
 	r := &Record{
 		Digest: m.Digest, Version: m.Version, State: m.State, By: m.By, Level: m.Level, Route: m.Route, Service: m.Service,
 		Runners: m.Runners, Since: time.UnixMilli(m.Since),
 	}
-	// A clock that is wrong must not hold a request back for longer than its term.
+	// A wrong clock must not hold a request back for longer than its level's duration.
 	r.Until = now.Add(min(max(0, left(&m)), Term(r.Level)))
 	return r, nil
 }
--- a/state/ledger/floor.go
+++ b/state/ledger/floor.go
@@ -6,18 +6,20 @@
 	"primroseward/core"
 )
 
-// Floor keeps a model reachable. It pins one ready replica, which nobody may
-// evict. Two runners' owners that each see the other's replica could otherwise
-// both evict their own; through this one object only one of them can.
+// Floor keeps at least one replica of a model loaded. It pins one ready replica, which
+// must not be evicted. Without it, the owners of two runners that each see the other's
+// replica could both evict their own; since both must update this one object, only one
+// of them can.
 type Floor struct {
-	Pin      string   `json:"pin"`      // runner whose replica stays
-	Evicting []string `json:"evicting"` // runners whose replica may vanish at any time
+	Pin      string   `json:"pin"`      // runner of the pinned replica
+	Evicting []string `json:"evicting"` // runners whose replica may be evicted at any time
 }
 
-// Evict allows a replica to be evicted. pinned says whether the pinned replica
-// was observed ready lately.
-func (f Floor) Evict(replica string, pinned bool) (Floor, error) {
-	if f.Pin == "" || f.Pin == replica || !pinned {
+// Evict returns the floor with a replica marked for eviction, or core.ErrLastReplica if
+// the replica must stay. pinnedReady says whether the pinned replica was recently observed
+// to be ready.
+func (f Floor) Evict(replica string, pinnedReady bool) (Floor, error) {
+	if f.Pin == "" || f.Pin == replica || !pinnedReady {
 		return f, core.ErrLastReplica
 	}
 	if slices.Contains(f.Evicting, replica) {
@@ -27,8 +29,8 @@
 	return f, nil
 }
 
-// Repin pins another ready replica. One that is being evicted cannot be
-// pinned.
+// Repin pins another ready replica. A replica that is being evicted cannot be pinned:
+// this returns core.ErrConflict.
 func (f Floor) Repin(replica string) (Floor, error) {
 	if slices.Contains(f.Evicting, replica) {
 		return f, core.ErrConflict
@@ -37,7 +39,7 @@
 	return f, nil
 }
 
-// Done forgets a replica whose eviction has settled.
+// Done removes a replica from the list of evictions once its eviction has settled.
 func (f Floor) Done(replica string) Floor {
 	f.Evicting = slices.DeleteFunc(slices.Clone(f.Evicting), func(r string) bool { return r == replica })
 	return f
--- a/state/ledger/ledger_test.go
+++ b/state/ledger/ledger_test.go
@@ -18,51 +18,51 @@
 
 func TestMain(m *testing.M) { fuzz.Main(m, 1500, 80) }
 
-// message is an order on its way to the endpoint.
+// message is an order under way to the endpoint.
 type message struct {
 	order core.Order
-	until time.Time // after which it can no longer arrive; zero: any time
+	until time.Time // after this it can no longer arrive; zero: no bound
 }
 
-// holder is a daemon that takes itself for the runner's owner. Its copy of the
-// record may be old: it may have stood still for any time.
-type holder struct {
+// owner is a daemon that acts as the runner's owner. Its copy of the record may be old,
+// since the process may have been suspended for any time.
+type owner struct {
 	record  Record
 	version uint64
-	readAt  int // in steps of the machine
+	readAt  int // step of the model at which record was read
 	obs     core.Observation
-	askedAt int
+	obsAt   int // step at which obs was requested
 }
 
-// machine is one runner with its record in the platform, an endpoint that
-// checks or ignores fencing numbers, a network that loses, delays, doubles and
-// reorders orders, and two daemons that both believe to own the runner.
-type machine struct {
-	rules   Rules
-	now     time.Time
-	step    int
-	record  Record // as stored
-	version uint64
-	holders [2]holder
-	flight  []message
-	held    map[string]core.Resident
-	fence   uint64
+// system models one runner with its record in the platform, an endpoint that checks or
+// ignores fencing numbers, a network that loses, delays, duplicates and reorders orders,
+// and two daemons that both act as owner of the runner.
+type system struct {
+	rules    Rules
+	now      time.Time
+	step     int
+	record   Record // as stored
+	version  uint64
+	owners   [2]owner
+	inFlight []message
+	held     map[string]core.Resident
+	fence    uint64
 }
 
-func newMachine(fenced bool) *machine {
-	return &machine{
+func newSystem(fenced bool) *system {
+	return &system{
 		rules: Rules{Fenced: fenced, Lifetime: 20 * time.Second},
 		now:   time.Unix(1e9, 0),
 		held:  map[string]core.Resident{},
 	}
 }
 
-func (m *machine) read(h *holder) {
+func (m *system) read(h *owner) {
 	h.record, h.version, h.readAt = m.record.clone(), m.version, m.step
 }
 
-// write is the conditional update; a holder with an old copy fails.
-func (m *machine) write(h *holder, next Record) {
+// write is the conditional update. That of an owner with an old copy fails.
+func (m *system) write(h *owner, next Record) {
 	if h.version != m.version {
 		return
 	}
@@ -71,8 +71,8 @@
 	m.read(h)
 }
 
-// arrive lets the endpoint carry out an order.
-func (m *machine) arrive(o core.Order) {
+// arrive lets the endpoint execute an order.
+func (m *system) arrive(o core.Order) {
 	if m.rules.Fenced && o.Fence < m.fence {
 		return
 	}
@@ -88,7 +88,7 @@
 	}
 }
 
-func (m *machine) observation() core.Observation {
+func (m *system) observation() core.Observation {
 	o := core.Observation{}
 	if m.rules.Fenced {
 		o.Fence = m.fence
@@ -105,14 +105,14 @@
 	return o
 }
 
-// worst is the most memory that the endpoint holds or may yet come to hold
-// through orders that are under way.
-func (m *machine) worst() int64 {
+// maxMemory returns the most memory that the endpoint uses or may come to use through
+// orders under way.
+func (m *system) maxMemory() int64 {
 	sizes := map[string]int64{}
 	for key, r := range m.held {
 		sizes[key] = r.Bytes
 	}
-	for _, msg := range m.flight {
+	for _, msg := range m.inFlight {
 		late := !msg.until.IsZero() && m.now.After(msg.until)
 		refused := m.rules.Fenced && msg.order.Fence < m.fence
 		if msg.order.Kind == core.OrderLoad && !late && !refused {
@@ -126,23 +126,23 @@
 	return sum
 }
 
-func (m *machine) check(t *rapid.T) {
-	if w := m.worst(); w > capacity {
-		t.Fatalf("endpoint may hold %d of %d; record %+v", w, capacity, m.record)
+func (m *system) check(t *rapid.T) {
+	if used := m.maxMemory(); used > capacity {
+		t.Fatalf("endpoint may use %d of %d bytes; record %+v", used, capacity, m.record)
 	}
 }
 
-// sometimesRead lets most plans start from the newest record; those that do
-// not are refused by the conditional update.
-func (m *machine) sometimesRead(t *rapid.T, h *holder) {
+// sometimesRead lets most decisions start from the newest record. The conditional update
+// refuses those that do not.
+func (m *system) sometimesRead(t *rapid.T, h *owner) {
 	if rapid.IntRange(0, 3).Draw(t, "old copy") > 0 {
 		m.step++
 		m.read(h)
 	}
 }
 
-func (m *machine) actions() map[string]func(*rapid.T) {
-	pick := func(t *rapid.T) *holder { return &m.holders[rapid.IntRange(0, 1).Draw(t, "holder")] }
+func (m *system) actions() map[string]func(*rapid.T) {
+	pick := func(t *rapid.T) *owner { return &m.owners[rapid.IntRange(0, 1).Draw(t, "owner")] }
 	return map[string]func(*rapid.T){
 		"": m.check,
 		"read": func(t *rapid.T) {
@@ -178,8 +178,9 @@
 				if e.State != Loading && e.State != Evicting {
 					continue
 				}
-				// An owner that stood still after its check sends late: an
-				// endpoint that checks numbers must refuse, so no time bounds it.
+				// An owner that is suspended after this check sends late. An
+				// endpoint that checks fencing numbers must refuse such orders, so
+				// here no time bounds them.
 				if !m.rules.Fenced && !e.MaySend(m.now) {
 					continue
 				}
@@ -187,28 +188,28 @@
 				if !m.rules.Fenced {
 					msg.until = m.now.Add(m.rules.Lifetime)
 				}
-				m.flight = append(m.flight, msg)
+				m.inFlight = append(m.inFlight, msg)
 			}
 		},
 		"deliver": func(t *rapid.T) {
-			if len(m.flight) == 0 {
+			if len(m.inFlight) == 0 {
 				t.Skip("nothing under way")
 			}
-			i := rapid.IntRange(0, len(m.flight)-1).Draw(t, "message")
-			msg := m.flight[i]
-			if !rapid.Bool().Draw(t, "doubled") {
-				m.flight = slices.Delete(m.flight, i, i+1)
+			i := rapid.IntRange(0, len(m.inFlight)-1).Draw(t, "message")
+			msg := m.inFlight[i]
+			if !rapid.Bool().Draw(t, "duplicated") {
+				m.inFlight = slices.Delete(m.inFlight, i, i+1)
 			}
 			if msg.until.IsZero() || !m.now.After(msg.until) {
 				m.arrive(msg.order)
 			}
 		},
 		"lose": func(t *rapid.T) {
-			if len(m.flight) == 0 {
+			if len(m.inFlight) == 0 {
 				t.Skip("nothing under way")
 			}
-			i := rapid.IntRange(0, len(m.flight)-1).Draw(t, "message")
-			m.flight = slices.Delete(m.flight, i, i+1)
+			i := rapid.IntRange(0, len(m.inFlight)-1).Draw(t, "message")
+			m.inFlight = slices.Delete(m.inFlight, i, i+1)
 		},
 		"finish": func(*rapid.T) {
 			for key, r := range m.held {
@@ -216,19 +217,19 @@
 				m.held[key] = r
 			}
 		},
-		// A restart ends all connections and with them what was under way.
+		// A restart closes all connections and so loses all orders under way.
 		"restart": func(*rapid.T) {
 			clear(m.held)
-			m.flight = nil
+			m.inFlight = nil
 		},
 		"observe": func(t *rapid.T) {
 			m.step++
 			h := pick(t)
-			h.obs, h.askedAt = m.observation(), m.step
+			h.obs, h.obsAt = m.observation(), m.step
 		},
 		"settle": func(t *rapid.T) {
 			h := pick(t)
-			if h.askedAt <= h.readAt {
+			if h.obsAt <= h.readAt {
 				t.Skip("the observation is older than the record")
 			}
 			next, settled := h.record.Settle(h.obs, m.rules, h.version, m.now)
@@ -237,8 +238,8 @@
 				m.write(h, next)
 			}
 		},
-		// A turn is what an owner that does not stand still does.
-		"turn": func(t *rapid.T) {
+		// A tick is what an owner does that is not suspended.
+		"tick": func(t *rapid.T) {
 			h := pick(t)
 			m.step++
 			m.read(h)
@@ -254,29 +255,29 @@
 	}
 }
 
-// An accelerator runs out of memory and its engine dies with all requests on
-// it. Orders are lost, late, doubled and reordered, an owner stands still past
-// any lease and goes on with what it believed, and a second owner plans
-// meanwhile. What the endpoint holds or may yet come to hold must never exceed
-// its memory.
+// Guards against an accelerator that runs out of memory, so that its engine exits with all
+// its requests. Orders are lost, late, duplicated and reordered. An owner is suspended
+// past the end of any lease and continues with its old state, while a second owner
+// decides. The memory that the endpoint uses or may come to use through orders under way
+// must never exceed its capacity.
 func TestMemoryIsNeverOverCommitted(t *testing.T) {
 	for _, fenced := range []bool{true, false} {
 		t.Run(fmt.Sprint("fenced ", fenced), func(t *testing.T) {
 			rapid.Check(t, func(t *rapid.T) {
-				m := newMachine(fenced)
+				m := newSystem(fenced)
 				t.Repeat(m.actions())
 			})
 		})
 	}
 }
 
-// The system would never free memory, or never load again what was lost. With
-// a network that works, every order settles in bounded steps.
+// Guards against memory that is never freed and lost models that are never loaded again.
+// With a working network, every order must settle in a bounded number of steps.
 func TestOrdersSettle(t *testing.T) {
 	for _, fenced := range []bool{true, false} {
-		m := newMachine(fenced)
-		h := &m.holders[0]
-		turn := func() {
+		m := newSystem(fenced)
+		h := &m.owners[0]
+		tick := func() {
 			m.step++
 			m.read(h)
 			m.step++
@@ -296,31 +297,31 @@
 		next, err := h.record.Load(Entry{Model: "a", Version: "1", Bytes: 60}, capacity, h.version, m.now)
 		assert.NilError(t, err)
 		m.write(h, next)
-		turn()
-		turn()
+		tick()
+		tick()
 		assert.Assert(t, m.record.HasReady("a"))
 		_, err = m.record.Load(Entry{Model: "b", Version: "1", Bytes: 50}, capacity, m.version, m.now)
 		assert.Assert(t, errors.Is(err, core.ErrOverCommit))
-		clear(m.held) // the engine restarts
-		turn()
-		turn()
-		turn()
-		assert.Assert(t, m.record.HasReady("a"), "loaded again after a restart")
+		clear(m.held) // the engine restarts and holds nothing
+		tick()
+		tick()
+		tick()
+		assert.Assert(t, m.record.HasReady("a"), "not loaded again after a restart")
 		m.read(h)
 		next, err = h.record.Evict("a", "1", "", h.version, m.now)
 		assert.NilError(t, err)
 		m.write(h, next)
 		for range 40 {
-			turn()
+			tick()
 		}
 		assert.Equal(t, m.record.Committed(), int64(0), "fenced %v: %+v", fenced, m.record)
 	}
 }
 
-// An engine that ignores fencing numbers loads a model that was evicted long
-// ago, on top of what fills its memory now. An owner wrote a load, stood still
-// before sending it and goes on after another owner has settled and given away
-// the memory. It must see that its time to send is over.
+// Guards against an engine without fencing numbers that loads a model evicted long ago
+// although its memory is in use by others. An owner writes a load and is suspended before
+// it sends the order. It resumes after another owner has settled the entry and reused the
+// memory. It must then see that SendWindow has passed.
 func TestPausedOwnerSendsNothing(t *testing.T) {
 	now := time.Unix(1e9, 0)
 	rules := Rules{Lifetime: 20 * time.Second}
@@ -330,7 +331,7 @@
 	rec, err = rec.Evict("a", "1", "", 1, now)
 	assert.NilError(t, err)
 	for !now.After(paused.Sent.Add(SendWindow)) {
-		assert.Assert(t, len(rec.Entries) == 1, "memory is given away while the owner may still send")
+		assert.Assert(t, len(rec.Entries) == 1, "the memory is released while the owner may still send")
 		now = now.Add(time.Second)
 		rec, _ = rec.Settle(core.Observation{}, rules, 2, now)
 	}
@@ -342,24 +343,24 @@
 	assert.Equal(t, len(rec.Entries), 0)
 }
 
-// A model would be gone from everywhere: two owners each see the other's
-// replica and both evict their own. Reports may be old in any way; only the
-// floor's conditional update decides.
+// Guards against losing the last replica of a model: two owners each see the other's
+// replica and both evict their own. Observations may be arbitrarily old; only the
+// conditional update of the floor decides.
 func TestLastReplicaStays(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		names := []string{"r1", "r2", "r3"}
 		var stored Floor
 		version := 0
 		ready := map[string]bool{"r1": true, "r2": true, "r3": true}
-		doomed := map[string]bool{} // to be evicted, which takes its time
-		type copyOf struct {
+		evicting := map[string]bool{} // eviction decided but not yet carried out
+		type view struct {            // what one owner has read
 			floor   Floor
 			version int
-			seen    map[string]bool
+			ready   map[string]bool
 		}
-		copies := make([]copyOf, 3)
-		write := func(c *copyOf, next Floor) bool {
-			if c.version != version {
+		views := make([]view, 3)
+		write := func(v *view, next Floor) bool {
+			if v.version != version {
 				return false
 			}
 			version++
@@ -370,71 +371,72 @@
 			"": func(t *rapid.T) {
 				n := 0
 				for _, r := range names {
-					if ready[r] && !doomed[r] {
+					if ready[r] && !evicting[r] {
 						n++
 					}
 				}
 				if n == 0 {
-					t.Fatalf("no replica is left; floor %+v", stored)
+					t.Fatalf("all replicas are evicted or about to be; floor %+v", stored)
 				}
 			},
 			"read": func(t *rapid.T) {
-				i := rapid.IntRange(0, 2).Draw(t, "who")
+				i := rapid.IntRange(0, 2).Draw(t, "runner")
 				seen := map[string]bool{}
 				for k, v := range ready {
 					seen[k] = v
 				}
-				copies[i] = copyOf{stored, version, seen}
+				views[i] = view{stored, version, seen}
 			},
 			"evict": func(t *rapid.T) {
-				i := rapid.IntRange(0, 2).Draw(t, "who")
-				c := &copies[i]
-				next, err := c.floor.Evict(names[i], c.seen[c.floor.Pin])
-				if err == nil && write(c, next) {
-					doomed[names[i]] = true
+				i := rapid.IntRange(0, 2).Draw(t, "runner")
+				v := &views[i]
+				next, err := v.floor.Evict(names[i], v.ready[v.floor.Pin])
+				if err == nil && write(v, next) {
+					evicting[names[i]] = true
 				}
 			},
 			"evicted": func(t *rapid.T) {
-				i := rapid.IntRange(0, 2).Draw(t, "who")
-				ready[names[i]] = ready[names[i]] && !doomed[names[i]]
+				i := rapid.IntRange(0, 2).Draw(t, "runner")
+				ready[names[i]] = ready[names[i]] && !evicting[names[i]]
 			},
 			"pin": func(t *rapid.T) {
-				i := rapid.IntRange(0, 2).Draw(t, "who")
-				c := &copies[i]
-				if !ready[names[i]] { // only an owner that sees its own replica ready pins it
+				i := rapid.IntRange(0, 2).Draw(t, "runner")
+				v := &views[i]
+				if !ready[names[i]] { // an owner pins only its own replica, and only if it is ready
 					t.Skip("not ready")
 				}
-				if next, err := c.floor.Repin(names[i]); err == nil {
-					write(c, next)
+				if next, err := v.floor.Repin(names[i]); err == nil {
+					write(v, next)
 				}
 			},
 			"load again": func(t *rapid.T) {
-				i := rapid.IntRange(0, 2).Draw(t, "who")
-				c := &copies[i]
-				if !ready[names[i]] && write(c, c.floor.Done(names[i])) {
+				i := rapid.IntRange(0, 2).Draw(t, "runner")
+				v := &views[i]
+				if !ready[names[i]] && write(v, v.floor.Done(names[i])) {
 					ready[names[i]] = true
-					delete(doomed, names[i])
+					delete(evicting, names[i])
 				}
 			},
 		})
 	})
 }
 
+// Slots keep both limits of the weight store: load starts per second and concurrent loads.
 func TestStoreSlots(t *testing.T) {
 	now := time.Unix(1e9, 0)
 	var s Slots
 	s, wait := s.Take("a", now, time.Minute, 2, 2)
 	assert.Equal(t, wait, time.Duration(0))
 	_, wait = s.Take("b", now, time.Minute, 2, 2)
-	assert.Equal(t, wait, 500*time.Millisecond, "two loads a second")
+	assert.Equal(t, wait, 500*time.Millisecond, "a second load within half a second")
 	now = now.Add(time.Second)
 	s, wait = s.Take("b", now, time.Minute, 2, 2)
 	assert.Equal(t, wait, time.Duration(0))
 	now = now.Add(time.Second)
 	_, wait = s.Take("c", now, time.Minute, 2, 2)
-	assert.Assert(t, wait > 0, "two at once")
+	assert.Assert(t, wait > 0, "a third load while two are running")
 	_, wait = s.Take("b", now, time.Minute, 2, 2)
-	assert.Equal(t, wait, time.Duration(0), "taking twice is one slot")
+	assert.Equal(t, wait, time.Duration(0), "a repeated take must not need another slot")
 	s, changed := s.Release("a")
 	assert.Assert(t, changed)
 	s, wait = s.Take("c", now, time.Minute, 2, 2)
--- a/state/ledger/record.go
+++ b/state/ledger/record.go
@@ -1,8 +1,7 @@
-// Package ledger is the arithmetic of what may be loaded where: the memory
-// plan of one runner, the floor of one model and the load slots of the weight
-// store. Its types are the bodies of platform objects. Its functions are pure:
-// each takes a body and returns the next one, and whoever writes that by a
-// conditional update has decided.
+// Package ledger computes what may be loaded where: the memory plan of one runner, the
+// floor of one model and the load slots of the weight store. Its types are the bodies of
+// platform objects. Its functions are pure: each takes a body and returns the next one. A
+// decision takes effect when a daemon writes that body by a conditional update.
 package ledger
 
 import (
@@ -12,30 +11,32 @@
 	"primroseward/core"
 )
 
-// SendWindow is how long after a record's write the orders that it authorises
-// may be sent. Sending later needs another write.
+// SendWindow is how long after the write of a record the orders that it authorises may
+// be sent. Later sends need another write.
 const SendWindow = 5 * time.Second
 
-// State is where an entry stands.
+// State is the state of an entry.
 type State string
 
-// States of an entry. All of them hold their memory.
+// States of an entry. In each of them its memory stays reserved. Quarantine is unrelated to
+// the quarantine of requests.
 const (
 	Loading    State = "loading"
 	Ready      State = "ready"
 	Evicting   State = "evicting"
-	Quarantine State = "quarantine" // gone as far as seen, but a late order may bring it back
+	Quarantine State = "quarantine" // no longer reported, but a late order may load it again
 )
 
-// Entry is one model version that a runner holds or may come to hold.
+// Entry is one model version that a runner holds or may yet load through an order under
+// way.
 type Entry struct {
 	Model   string    `json:"model"`
 	Version string    `json:"version"`
 	Bytes   int64     `json:"bytes"`
 	State   State     `json:"state"`
-	After   uint64    `json:"after"` // record version before the write that set State
-	Sent    time.Time `json:"sent"`  // latest write that authorised an order for it
-	Since   time.Time `json:"since"`
+	After   uint64    `json:"after"` // version of the record before the write that set State
+	Sent    time.Time `json:"sent"`  // time of the latest write that authorised an order for it
+	Since   time.Time `json:"since"` // when State was set
 	Reason  string    `json:"reason,omitempty"`
 }
 
@@ -45,13 +46,14 @@
 	Entries []Entry `json:"entries"`
 }
 
-// Rules is what an endpoint allows its ledger to conclude.
+// Rules are the properties of an endpoint by which Settle decides when memory is free.
 type Rules struct {
-	Fenced   bool          // it refuses orders with an old fencing number
-	Lifetime time.Duration // longest time an order to it can be under way
+	Fenced   bool          // the endpoint refuses orders with an old fencing number
+	Lifetime time.Duration // longest time that an order to it can be under way
 }
 
-// Committed is the memory that the runner holds or may come to hold.
+// Committed returns the sum of the bytes of all entries: the memory that is in use or may
+// come to be used through orders under way.
 func (r Record) Committed() int64 {
 	var sum int64
 	for _, e := range r.Entries {
@@ -67,7 +69,7 @@
 	})
 }
 
-// HasReady says whether any version of a model is ready.
+// HasReady reports whether any version of a model is ready.
 func (r Record) HasReady(model string) bool {
 	return slices.ContainsFunc(r.Entries, func(e Entry) bool {
 		return e.Model == model && e.State == Ready
@@ -79,8 +81,8 @@
 	return r
 }
 
-// TakeOver makes owner the one whose orders count. Orders under way keep their
-// entries; sending them again needs Authorise.
+// TakeOver returns the record with a new owner. The entries of orders under way stay; the
+// new owner needs Authorise to send these orders again.
 func (r Record) TakeOver(owner string) Record {
 	r = r.clone()
 	r.Owner = owner
@@ -88,9 +90,9 @@
 }
 
 // Load reserves memory for a model version. version is the record's version
-// before the write. It fails with ErrExists when the runner holds or may hold
-// it, and with ErrOverCommit when there is not enough memory for all that the
-// runner holds or may come to hold.
+// before the write. It fails with core.ErrExists if the model version has an entry
+// already, and with core.ErrOverCommit if the entries with the new one need more than
+// capacity.
 func (r Record) Load(e Entry, capacity int64, version uint64, now time.Time) (Record, error) {
 	if r.Find(e.Model, e.Version) >= 0 {
 		return r, core.ErrExists
@@ -107,7 +109,8 @@
 	return r, nil
 }
 
-// Evict marks a model version for removal. Its memory stays reserved.
+// Evict marks a model version for eviction. Its memory stays reserved. recordVersion is
+// the record's version before the write.
 func (r Record) Evict(model, version, reason string, recordVersion uint64, now time.Time) (Record, error) {
 	i := r.Find(model, version)
 	if i < 0 {
@@ -126,8 +129,8 @@
 	return r, nil
 }
 
-// Pending says whether an entry still needs its order to be sent, given what
-// the endpoint reports.
+// Pending reports whether the order of an entry still has to be sent, given what the
+// endpoint reports.
 func (e Entry) Pending(o core.Observation, rules Rules) bool {
 	resident := slices.ContainsFunc(o.Residents, func(res core.Resident) bool {
 		return res.Model == e.Model && res.Version == e.Version
@@ -142,8 +145,8 @@
 	}
 }
 
-// Authorise allows the orders of pending entries whose time to send is over to
-// be sent again. It returns the next record and whether it differs.
+// Authorise allows the orders of pending entries whose SendWindow has passed to be sent
+// again. It returns the next record and whether it differs.
 func (r Record) Authorise(o core.Observation, rules Rules, now time.Time) (Record, bool) {
 	next := r.clone()
 	changed := false
@@ -157,7 +160,8 @@
 	return next, changed
 }
 
-// Order returns the order that an entry needs under a record version.
+// Order returns the load or unload order of an entry, with the record version as its
+// fencing number.
 func (e Entry) Order(version uint64) core.Order {
 	kind := core.OrderLoad
 	if e.State == Evicting {
@@ -166,20 +170,20 @@
 	return core.Order{Kind: kind, Model: e.Model, Version: e.Version, Bytes: e.Bytes, Fence: version}
 }
 
-// MaySend says whether the entry's order may still be sent.
+// MaySend reports whether the entry's order may still be sent: SendWindow has not passed.
 func (e Entry) MaySend(now time.Time) bool { return now.Sub(e.Sent) < SendWindow }
 
-// Settle compares the record with what the endpoint reports to hold. The
-// observation must have been asked for after the record was read. It returns
-// the next record and whether it differs.
+// Settle updates the record by what the endpoint reports to hold. The observation must
+// have been requested after the record was read. Settle returns the next record and
+// whether it differs.
 func (r Record) Settle(o core.Observation, rules Rules, version uint64, now time.Time) (Record, bool) {
 	next := r.clone()
 	next.Entries = next.Entries[:0]
 	changed := false
 	for _, e := range r.Entries {
-		was := e
+		before := e
 		kept := e.settle(o, rules, version, now)
-		changed = changed || !kept || e != was
+		changed = changed || !kept || e != before
 		if kept {
 			next.Entries = append(next.Entries, e)
 		}
@@ -194,8 +198,8 @@
 	return next, changed
 }
 
-// adopt takes a model that the endpoint holds of itself into the plan, since
-// its memory is in use whoever ordered it.
+// adopt returns an entry for a model that the endpoint holds without an order of this
+// plan, since its memory is in use in any case.
 func adopt(res core.Resident, version uint64, now time.Time) Entry {
 	e := Entry{Model: res.Model, Version: res.Version, Bytes: res.Bytes, State: Loading, After: version, Since: now, Reason: "found on the endpoint"}
 	if res.Ready {
@@ -204,7 +208,8 @@
 	return e
 }
 
-// settle moves one entry on; false drops it and frees its memory.
+// settle advances the state of one entry. It returns false if the entry must be dropped,
+// which frees its memory.
 func (e *Entry) settle(o core.Observation, rules Rules, version uint64, now time.Time) bool {
 	i := slices.IndexFunc(o.Residents, func(res core.Resident) bool {
 		return res.Model == e.Model && res.Version == e.Version
@@ -216,12 +221,12 @@
 	switch e.State {
 	case Loading:
 		if resident && o.Residents[i].Ready {
-			e.to(Ready, version, now)
+			e.setState(Ready, version, now)
 		}
 	case Ready:
-		// The endpoint restarted or a late eviction took it: load it again.
+		// The endpoint restarted or a late eviction removed the model: load it again.
 		if !resident || !o.Residents[i].Ready {
-			e.to(Loading, version, now)
+			e.setState(Loading, version, now)
 		}
 	case Evicting:
 		if !resident {
@@ -229,7 +234,7 @@
 		}
 	case Quarantine:
 		if resident {
-			e.to(Evicting, version, now)
+			e.setState(Evicting, version, now)
 			return true
 		}
 		return !e.expired(rules, now)
@@ -237,24 +242,27 @@
 	return true
 }
 
-// settleGone decides whether memory that is seen to be free may be given away.
-// A load order that was lost from sight may still arrive and fill it again. An
-// endpoint that checks fencing numbers and has seen one newer than e.After
-// refuses every load of this entry, since all of those carry older numbers.
-// For any other endpoint only time excludes a late order.
+// settleGone handles an evicting entry whose model the endpoint no longer reports. It
+// returns false if the memory may be reused. A load order sent earlier may still arrive
+// and load the model again. An endpoint that checks fencing numbers and has seen one newer
+// than e.After refuses every load order of this entry, since all of them carry older
+// numbers. For any other endpoint, only the passing of time excludes a late order.
 func (e *Entry) settleGone(o core.Observation, rules Rules, version uint64, now time.Time) bool {
 	if rules.Fenced {
 		return o.Fence <= e.After
 	}
-	e.to(Quarantine, version, now)
+	e.setState(Quarantine, version, now)
 	return !e.expired(rules, now)
 }
 
+// expired reports whether no order of the entry can be under way any more: the time to send
+// one and the longest time under way have passed since Sent.
 func (e *Entry) expired(rules Rules, now time.Time) bool {
 	return now.Sub(e.Sent) > SendWindow+rules.Lifetime
 }
 
-func (e *Entry) to(s State, version uint64, now time.Time) {
+// setState changes the state of the entry. version is that of the record before the write.
+func (e *Entry) setState(s State, version uint64, now time.Time) {
 	e.State = s
 	e.After = version
 	e.Since = now
--- a/state/ledger/slots.go
+++ b/state/ledger/slots.go
@@ -5,22 +5,26 @@
 	"time"
 )
 
-// Slot is one load that the weight store may be serving.
+// Slot is one load that may be reading from the weight store.
 type Slot struct {
 	ID    string    `json:"id"`
-	Until time.Time `json:"until"` // when it counts as over if nobody says so
+	Until time.Time `json:"until"` // when the slot expires if it is not released
 }
 
-// Slots is the shared budget of the weight store.
+// Slots is the record of loads by which all daemons together keep the weight store's
+// limits.
 type Slots struct {
-	Last  time.Time `json:"last"` // start of the newest load
+	Last  time.Time `json:"last"` // start of the latest load
 	Slots []Slot    `json:"slots"`
 }
 
-// Take asks for a load. When there is none free it returns how long to wait.
-func (s Slots) Take(id string, now time.Time, life time.Duration, perSecond float64, limit int) (Slots, time.Duration) {
-	s.Slots = slices.DeleteFunc(slices.Clone(s.Slots), func(one Slot) bool { return !now.Before(one.Until) })
-	if slices.ContainsFunc(s.Slots, func(one Slot) bool { return one.ID == id }) {
+// Take takes a slot for the load id until now+ttl. perSecond is the weight store's limit
+// of load starts per second, and limit that of concurrent loads. If no slot is free, Take
+// returns how long to wait before the next try. Taking a slot again for the same id
+// changes nothing.
+func (s Slots) Take(id string, now time.Time, ttl time.Duration, perSecond float64, limit int) (Slots, time.Duration) {
+	s.Slots = slices.DeleteFunc(slices.Clone(s.Slots), func(slot Slot) bool { return !now.Before(slot.Until) })
+	if slices.ContainsFunc(s.Slots, func(slot Slot) bool { return slot.ID == id }) {
 		return s, 0
 	}
 	gap := time.Duration(float64(time.Second) / perSecond)
@@ -30,14 +34,14 @@
 	if len(s.Slots) >= limit {
 		return s, gap
 	}
-	s.Slots = append(s.Slots, Slot{ID: id, Until: now.Add(life)})
+	s.Slots = append(s.Slots, Slot{ID: id, Until: now.Add(ttl)})
 	s.Last = now
 	return s, 0
 }
 
-// Release gives a load's slot back.
+// Release releases the slot of a load and reports whether the load had one.
 func (s Slots) Release(id string) (Slots, bool) {
-	kept := slices.DeleteFunc(slices.Clone(s.Slots), func(one Slot) bool { return one.ID == id })
+	kept := slices.DeleteFunc(slices.Clone(s.Slots), func(slot Slot) bool { return slot.ID == id })
 	changed := len(kept) < len(s.Slots)
 	s.Slots = kept
 	return s, changed
