--- a/state/answer/answer_test.go
+++ b/state/answer/answer_test.go
@@ -14,9 +14,9 @@
 	"primroseward/core"
 )
 
-// A caller would get a gap or a repetition after coming back. Readers start at
-// any offset at any time while the answer is written, and each must see the
-// same bytes and the end.
+// Guards against gaps or repeated bytes in the answer of a caller that resumes. Readers
+// start at any offset at any time while the answer is written. Each must read the same
+// bytes and the end.
 func TestReadersSeeTheSame(t *testing.T) {
 	b := NewBuffer()
 	ctx := context.Background()
@@ -50,8 +50,8 @@
 	assert.Assert(t, errors.Is(err, core.ErrGone))
 }
 
-// Memory would run out when a caller reads slowly or not at all: the writer
-// must wait, and go on when the reader does.
+// Guards against running out of memory when a caller reads slowly or not at all: the
+// writer must wait, and continue when the reader does.
 func TestSlowReaderStopsItsOwnWriter(t *testing.T) {
 	b := NewBuffer()
 	ctx, cancel := context.WithTimeout(context.Background(), 50*time.Millisecond)
@@ -64,12 +64,13 @@
 		}
 	}
 	assert.Assert(t, errors.Is(err, context.DeadlineExceeded))
-	assert.Assert(t, b.Len() <= 2*window)
+	assert.Assert(t, b.Len() <= 2*maxAhead)
 	_, _, err = b.Next(context.Background(), 0)
 	assert.NilError(t, err)
 	assert.NilError(t, b.Append(context.Background(), chunk))
 }
 
+// A long answer holds a bounded number of bytes; its beginning is dropped.
 func TestLongAnswersAreBounded(t *testing.T) {
 	b := NewBuffer()
 	ctx := context.Background()
@@ -80,11 +81,12 @@
 		assert.NilError(t, err)
 		offset += int64(len(data))
 	}
-	assert.Assert(t, b.Size() <= 2*keep)
+	assert.Assert(t, b.Size() <= 2*retained)
 	_, _, err := b.Next(ctx, 0)
 	assert.Assert(t, errors.Is(err, core.ErrGone))
 }
 
+// Of Fail and Finish, only the first call has an effect.
 func TestFirstEndHolds(t *testing.T) {
 	b := NewBuffer()
 	b.Fail(core.MayHaveRun("broken", "x"))
@@ -95,6 +97,7 @@
 	assert.Assert(t, !whole && err != nil)
 }
 
+// Keep drops the oldest finished answers past its byte limit or TTL, and none in progress.
 func TestKeepDropsOldestFinished(t *testing.T) {
 	clock := clockwork.NewFakeClock()
 	k := NewKeep(clock, 100, time.Minute)
@@ -108,7 +111,7 @@
 	k.Finished(hold("a", 60))
 	k.Finished(hold("b", 60))
 	_, err := k.Get("a")
-	assert.Assert(t, errors.Is(err, core.ErrGone), "a late comer is told that it is gone")
+	assert.Assert(t, errors.Is(err, core.ErrGone), "a dropped answer must be reported as gone")
 	_, err = k.Get("b")
 	assert.NilError(t, err)
 	_, err = k.Get("c")
@@ -118,7 +121,7 @@
 	_, err = k.Get("b")
 	assert.Assert(t, errors.Is(err, core.ErrGone))
 	again, fresh := k.Begin("running", 1)
-	assert.Assert(t, !fresh && again == running, "what is in progress stays")
+	assert.Assert(t, !fresh && again == running, "an answer in progress must stay")
 	k.Forget(running)
 	_, fresh = k.Begin("running", 1)
 	assert.Assert(t, fresh)
--- a/state/answer/buffer.go
+++ b/state/answer/buffer.go
@@ -1,5 +1,5 @@
-// Package answer holds answers in progress and finished ones, so that a reader
-// whose connection broke can go on where it stopped.
+// Package answer holds answers in progress and finished ones, so that a reader whose
+// connection broke can resume at the offset that it had reached.
 package answer
 
 import (
@@ -11,30 +11,29 @@
 )
 
 const (
-	// window is how far a writer may be ahead of the furthest reader.
-	window = 1 << 20
-	// keep is how much of a long answer stays readable behind the reader.
-	keep = 16 << 20
+	// maxAhead is how many bytes a writer may be ahead of the furthest reader.
+	maxAhead = 1 << 20
+	// retained is how many bytes of a long answer stay readable behind the furthest reader.
+	retained = 16 << 20
 )
 
-// Head is an answer's status and headers.
+// Head is the status and headers of an answer.
 type Head struct {
 	Status int
 	Header http.Header
 }
 
-// Buffer is one answer. One writer fills it; any number of readers read it,
-// each from its own offset. It ends whole or with a RequestError, never
-// silently.
+// Buffer is one answer. One writer fills it; any number of readers read it, each from
+// its own offset. It ends either complete or with a core.RequestError.
 type Buffer struct {
 	mu      sync.Mutex
 	head    *Head
 	base    int64 // offset of data[0]
 	data    []byte
-	mark    int64 // furthest offset that was read
+	readEnd int64 // end of the data that any reader has read
 	done    bool
-	fail    *core.RequestError
-	changed chan struct{}
+	failure *core.RequestError
+	changed chan struct{} // closed and replaced on each change
 	readers int
 }
 
@@ -43,12 +42,13 @@
 	return &Buffer{changed: make(chan struct{})}
 }
 
+// wake wakes up all waiting readers and writers. The caller holds the lock.
 func (b *Buffer) wake() {
 	close(b.changed)
 	b.changed = make(chan struct{})
 }
 
-// SetHead gives the answer its head; a later head is ignored.
+// SetHead sets the head of the answer. Only the first call has an effect.
 func (b *Buffer) SetHead(h Head) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -58,12 +58,13 @@
 	}
 }
 
-// Append adds data at the end. It waits while readers are far behind, so that
-// a slow caller stops the read from its own endpoint stream alone.
+// Append adds data at the end. It blocks while the end is maxAhead bytes or more past the
+// furthest reader, so that a slow caller pauses the read of its own endpoint stream and no
+// other.
 func (b *Buffer) Append(ctx context.Context, data []byte) error {
 	for {
 		b.mu.Lock()
-		if b.end()-b.mark < window || b.done {
+		if b.end()-b.readEnd < maxAhead || b.done {
 			b.push(data)
 			b.mu.Unlock()
 			return nil
@@ -78,14 +79,16 @@
 	}
 }
 
+// push appends data and drops old data that exceeds retained by half or more and that has
+// been read. The caller holds the lock.
 func (b *Buffer) push(data []byte) {
 	if b.done {
 		return
 	}
 	b.data = append(b.data, data...)
-	if over := int64(len(b.data)) - keep; over > keep/2 && b.base+over <= b.mark {
-		b.data = append([]byte(nil), b.data[over:]...)
-		b.base += over
+	if excess := int64(len(b.data)) - retained; excess > retained/2 && b.base+excess <= b.readEnd {
+		b.data = append([]byte(nil), b.data[excess:]...)
+		b.base += excess
 	}
 	b.wake()
 }
@@ -99,17 +102,18 @@
 	return b.end()
 }
 
-// Size returns the bytes that the buffer occupies.
+// Size returns the number of bytes of data that the buffer holds.
 func (b *Buffer) Size() int64 {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return int64(len(b.data))
 }
 
-// Finish marks the answer as whole. Of Finish and Fail the first call holds.
+// Finish marks the answer as complete. Only the first call of Finish or Fail has an
+// effect.
 func (b *Buffer) Finish() { b.close(nil) }
 
-// Fail ends the answer with an error.
+// Fail ends the answer with an error. Only the first call of Finish or Fail has an effect.
 func (b *Buffer) Fail(err *core.RequestError) { b.close(err) }
 
 func (b *Buffer) close(err *core.RequestError) {
@@ -119,28 +123,28 @@
 		return
 	}
 	b.done = true
-	b.fail = err
+	b.failure = err
 	b.wake()
 }
 
-// Done says whether the answer has ended, and how.
+// Done reports whether the answer has ended, and with which error; nil if it is complete.
 func (b *Buffer) Done() (bool, *core.RequestError) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return b.done, b.fail
+	return b.done, b.failure
 }
 
-// Head waits for the head or for a failure.
+// Head waits for the head and returns it, or the error with which the answer ended.
 func (b *Buffer) Head(ctx context.Context) (*Head, error) {
 	for {
 		b.mu.Lock()
-		head, done, fail, changed := b.head, b.done, b.fail, b.changed
+		head, done, failure, changed := b.head, b.done, b.failure, b.changed
 		b.mu.Unlock()
 		switch {
 		case head != nil:
 			return head, nil
-		case fail != nil:
-			return nil, fail
+		case failure != nil:
+			return nil, failure
 		case done:
 			return nil, core.MayHaveRun("answer_without_head", "the answer ended before it began")
 		}
@@ -152,9 +156,9 @@
 	}
 }
 
-// Next waits for data at an offset. It returns a copy of what there is, with
-// whole set when the answer ends there. ErrGone means that the data at offset
-// is no longer held.
+// Next waits for data at an offset. It returns a copy of the data from there on, or
+// whole set if the answer is complete and ends at offset. core.ErrGone means that the
+// data at offset is no longer held or lies past the end of the answer.
 func (b *Buffer) Next(ctx context.Context, offset int64) (data []byte, whole bool, err error) {
 	for {
 		b.mu.Lock()
@@ -164,15 +168,15 @@
 		}
 		if offset < b.end() {
 			data = append([]byte(nil), b.data[offset-b.base:]...)
-			b.mark = max(b.mark, b.end())
+			b.readEnd = max(b.readEnd, b.end())
 			b.wake()
 			b.mu.Unlock()
 			return data, false, nil
 		}
-		done, fail, changed := b.done, b.fail, b.changed
+		done, failure, changed := b.done, b.failure, b.changed
 		b.mu.Unlock()
-		if fail != nil {
-			return nil, false, fail
+		if failure != nil {
+			return nil, false, failure
 		}
 		if done {
 			return nil, true, nil
@@ -185,8 +189,8 @@
 	}
 }
 
-// Release drops the data of an answer that has ended. What is read of it later
-// is gone; its end is still known.
+// Release drops the data of an answer that has ended. Later reads of the data return
+// core.ErrGone; reads at its end still report how it ended.
 func (b *Buffer) Release() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -197,7 +201,7 @@
 	b.data = nil
 }
 
-// Attach counts a reader; the returned function ends it.
+// Attach registers a reader. The returned function unregisters it.
 func (b *Buffer) Attach() func() {
 	b.mu.Lock()
 	b.readers++
@@ -210,7 +214,7 @@
 	})
 }
 
-// Readers returns how many readers are attached.
+// Readers returns the number of attached readers.
 func (b *Buffer) Readers() int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/state/answer/keep.go
+++ b/state/answer/keep.go
@@ -8,21 +8,21 @@
 	"primroseward/core"
 )
 
-// tombstones bounds the ids of answers that were dropped.
-const tombstones = 100000
+// maxTombstones bounds the number of keys kept of dropped answers.
+const maxTombstones = 100000
 
-// Keep is the set of answers that a process holds, bounded in bytes and time.
+// Keep holds the answers of a process. Finished answers are bounded in bytes and time.
 type Keep struct {
 	clock core.Clock
-	limit int64
-	life  time.Duration
+	limit int64         // bytes of finished answers
+	ttl   time.Duration // of finished answers
 
 	mu       sync.Mutex
 	held     map[string]*Held
-	finished *list.List // of *Held, oldest first
-	gone     map[string]struct{}
-	goneList *list.List
-	bytes    int64
+	finished *list.List          // of *Held, oldest first
+	gone     map[string]struct{} // keys of answers dropped by trim
+	goneKeys *list.List          // of the keys in gone, oldest first
+	bytes    int64               // of finished answers
 }
 
 // Held is one request with its answer.
@@ -31,27 +31,27 @@
 	Print  uint64 // fingerprint of the request
 	Buffer *Buffer
 
-	at   time.Time
-	elem *list.Element
-	size int64
+	finishedAt time.Time
+	elem       *list.Element // in Keep.finished; nil while the answer is in progress
+	size       int64         // bytes of the finished answer
 }
 
-// NewKeep returns an empty set that holds finished answers for life and at
-// most limit bytes of them.
-func NewKeep(clock core.Clock, limit int64, life time.Duration) *Keep {
+// NewKeep returns an empty Keep that holds finished answers for ttl and at most limit
+// bytes of them.
+func NewKeep(clock core.Clock, limit int64, ttl time.Duration) *Keep {
 	return &Keep{
 		clock:    clock,
 		limit:    limit,
-		life:     life,
+		ttl:      ttl,
 		held:     map[string]*Held{},
 		finished: list.New(),
 		gone:     map[string]struct{}{},
-		goneList: list.New(),
+		goneKeys: list.New(),
 	}
 }
 
-// Begin adds a request. When the key is taken it returns the one that holds it
-// and false.
+// Begin adds a request and returns it with true. If the key is in use, it returns the
+// request that has it and false.
 func (k *Keep) Begin(key string, fingerprint uint64) (*Held, bool) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -63,7 +63,8 @@
 	return h, true
 }
 
-// Get returns the held answer of a key. ErrGone means that it was held once.
+// Get returns the held answer of a key. core.ErrGone means that it was held and has been
+// dropped; core.ErrNotFound, that the key is unknown.
 func (k *Keep) Get(key string) (*Held, error) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -76,23 +77,23 @@
 	return nil, core.ErrNotFound
 }
 
-// Finished tells that a request's answer has ended and may be dropped when its
-// time is over or room is needed, oldest first.
+// Finished marks the answer of a request as ended. From then on it may be dropped, oldest
+// first, when its TTL has passed or the byte limit is exceeded.
 func (k *Keep) Finished(h *Held) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	if h.elem != nil || k.held[h.Key] != h {
 		return
 	}
-	h.at = k.clock.Now()
+	h.finishedAt = k.clock.Now()
 	h.size = h.Buffer.Size()
 	h.elem = k.finished.PushBack(h)
 	k.bytes += h.size
 	k.trim()
 }
 
-// Forget drops a request that left nothing to hold, such as a refusal, so that
-// the same id can be tried again.
+// Forget removes a request whose outcome need not be held, such as a refusal, so that
+// the same id can be sent again.
 func (k *Keep) Forget(h *Held) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -101,21 +102,23 @@
 	}
 }
 
-// Trim drops answers whose time is over.
+// Trim drops finished answers whose TTL has passed.
 func (k *Keep) Trim() {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	k.trim()
 }
 
+// trim drops finished answers whose TTL has passed or that exceed the byte limit. The
+// caller holds the lock.
 func (k *Keep) trim() {
 	for k.finished.Len() > 0 {
 		h := k.finished.Front().Value.(*Held)
-		if k.bytes <= k.limit && k.clock.Since(h.at) < k.life {
+		if k.bytes <= k.limit && k.clock.Since(h.finishedAt) < k.ttl {
 			return
 		}
 		k.remove(h)
-		k.bury(h.Key)
+		k.addTombstone(h.Key)
 	}
 }
 
@@ -127,17 +130,18 @@
 	}
 }
 
-func (k *Keep) bury(key string) {
+// addTombstone records the key of a dropped answer. The caller holds the lock.
+func (k *Keep) addTombstone(key string) {
 	k.gone[key] = struct{}{}
-	k.goneList.PushBack(key)
-	if k.goneList.Len() > tombstones {
-		first := k.goneList.Front()
+	k.goneKeys.PushBack(key)
+	if k.goneKeys.Len() > maxTombstones {
+		first := k.goneKeys.Front()
 		delete(k.gone, first.Value.(string))
-		k.goneList.Remove(first)
+		k.goneKeys.Remove(first)
 	}
 }
 
-// Bytes returns the bytes of finished answers held.
+// Bytes returns the total size of the finished answers.
 func (k *Keep) Bytes() int64 {
 	k.mu.Lock()
 	defer k.mu.Unlock()
--- a/state/directory/directory.go
+++ b/state/directory/directory.go
@@ -1,6 +1,6 @@
-// Package directory keeps which runner serves which model, as their owners
-// report it. Each daemon keeps the entries of the models that fall to it; all
-// of it is rebuilt within a second or two when a daemon is new.
+// Package directory records which runner serves which model or plain service, as the
+// runners' owners report it. Each daemon keeps the entries of the models assigned to it.
+// A new daemon has all of its entries again within one or two seconds.
 package directory
 
 import (
@@ -10,25 +10,26 @@
 	"primroseward/core"
 )
 
-// life is how long a report counts. Older ones count as unknown, not as idle.
-const life = 5 * time.Second
+// reportTTL is how long a report is valid. A runner with an older one counts as unknown,
+// not as idle.
+const reportTTL = 5 * time.Second
 
-// Report is what an owner says of one runner.
+// Report is an owner's report on one runner.
 type Report struct {
 	Runner  string
-	Place   string
+	Place   string // data centre
 	Owner   string
 	Service string   // of a plain endpoint
 	Models  []string // ready and not about to be evicted
 	Slots   int
 	Running int
 	Queued  int
-	Wait    time.Duration // until a new normal request would start
+	Wait    time.Duration // expected, until a new request of class normal would start
 	Leaving bool
-	At      time.Time
+	At      time.Time // when the report was made
 }
 
-// Directory holds reports; it is safe for concurrent use.
+// Directory holds reports. It is safe for concurrent use.
 type Directory struct {
 	clock core.Clock
 	mu    sync.Mutex
@@ -40,13 +41,13 @@
 	return &Directory{clock: clock, byKey: map[string]map[string]Report{}}
 }
 
-// ModelKey is the key of a model's entry.
+// ModelKey returns the key of a model's reports.
 func ModelKey(model string) string { return "model/" + model }
 
-// ServiceKey is the key of a plain service's entry.
+// ServiceKey returns the key of a plain service's reports.
 func ServiceKey(service string) string { return "service/" + service }
 
-// Keys returns the keys that a report belongs under.
+// Keys returns the keys under which a report is stored.
 func (r Report) Keys() []string {
 	if r.Service != "" {
 		return []string{ServiceKey(r.Service)}
@@ -58,8 +59,7 @@
 	return out
 }
 
-// Put takes in reports. A report for a runner replaces older ones from any
-// owner.
+// Put stores reports. A report on a runner replaces older ones of any owner.
 func (d *Directory) Put(reports []Report) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -75,14 +75,14 @@
 	}
 }
 
-// Find returns the reports under a key that still count.
+// Find returns the valid reports under a key.
 func (d *Directory) Find(key string) []Report {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	var out []Report
 	now := d.clock.Now()
 	for runner, r := range d.byKey[key] {
-		if now.Sub(r.At) > life {
+		if now.Sub(r.At) > reportTTL {
 			delete(d.byKey[key], runner)
 			continue
 		}
--- a/state/ledger/ledger_test.go
+++ b/state/ledger/ledger_test.go
@@ -57,43 +57,43 @@
 	}
 }
 
-func (m *system) read(h *owner) {
-	h.record, h.version, h.readAt = m.record.clone(), m.version, m.step
+func (sys *system) read(own *owner) {
+	own.record, own.version, own.readAt = sys.record.clone(), sys.version, sys.step
 }
 
 // write is the conditional update. That of an owner with an old copy fails.
-func (m *system) write(h *owner, next Record) {
-	if h.version != m.version {
+func (sys *system) write(own *owner, next Record) {
+	if own.version != sys.version {
 		return
 	}
-	m.version++
-	m.record = next.clone()
-	m.read(h)
+	sys.version++
+	sys.record = next.clone()
+	sys.read(own)
 }
 
 // arrive lets the endpoint execute an order.
-func (m *system) arrive(o core.Order) {
-	if m.rules.Fenced && o.Fence < m.fence {
+func (sys *system) arrive(o core.Order) {
+	if sys.rules.Fenced && o.Fence < sys.fence {
 		return
 	}
-	m.fence = max(m.fence, o.Fence)
+	sys.fence = max(sys.fence, o.Fence)
 	key := o.Model + "@" + o.Version
 	switch o.Kind {
 	case core.OrderLoad:
-		if _, ok := m.held[key]; !ok {
-			m.held[key] = core.Resident{Model: o.Model, Version: o.Version, Bytes: o.Bytes}
+		if _, ok := sys.held[key]; !ok {
+			sys.held[key] = core.Resident{Model: o.Model, Version: o.Version, Bytes: o.Bytes}
 		}
 	case core.OrderEvict:
-		delete(m.held, key)
+		delete(sys.held, key)
 	}
 }
 
-func (m *system) observation() core.Observation {
+func (sys *system) observation() core.Observation {
 	o := core.Observation{}
-	if m.rules.Fenced {
-		o.Fence = m.fence
+	if sys.rules.Fenced {
+		o.Fence = sys.fence
 	}
-	for _, r := range m.held {
+	for _, r := range sys.held {
 		o.Residents = append(o.Residents, r)
 	}
 	slices.SortFunc(o.Residents, func(a, b core.Resident) int {
@@ -107,14 +107,14 @@
 
 // maxMemory returns the most memory that the endpoint uses or may come to use through
 // orders under way.
-func (m *system) maxMemory() int64 {
+func (sys *system) maxMemory() int64 {
 	sizes := map[string]int64{}
-	for key, r := range m.held {
+	for key, r := range sys.held {
 		sizes[key] = r.Bytes
 	}
-	for _, msg := range m.inFlight {
-		late := !msg.until.IsZero() && m.now.After(msg.until)
-		refused := m.rules.Fenced && msg.order.Fence < m.fence
+	for _, msg := range sys.inFlight {
+		late := !msg.until.IsZero() && sys.now.After(msg.until)
+		refused := sys.rules.Fenced && msg.order.Fence < sys.fence
 		if msg.order.Kind == core.OrderLoad && !late && !refused {
 			sizes[msg.order.Model+"@"+msg.order.Version] = msg.order.Bytes
 		}
@@ -126,131 +126,131 @@
 	return sum
 }
 
-func (m *system) check(t *rapid.T) {
-	if used := m.maxMemory(); used > capacity {
-		t.Fatalf("endpoint may use %d of %d bytes; record %+v", used, capacity, m.record)
+func (sys *system) check(t *rapid.T) {
+	if used := sys.maxMemory(); used > capacity {
+		t.Fatalf("endpoint may use %d of %d bytes; record %+v", used, capacity, sys.record)
 	}
 }
 
 // sometimesRead lets most decisions start from the newest record. The conditional update
 // refuses those that do not.
-func (m *system) sometimesRead(t *rapid.T, h *owner) {
+func (sys *system) sometimesRead(t *rapid.T, own *owner) {
 	if rapid.IntRange(0, 3).Draw(t, "old copy") > 0 {
-		m.step++
-		m.read(h)
+		sys.step++
+		sys.read(own)
 	}
 }
 
-func (m *system) actions() map[string]func(*rapid.T) {
-	pick := func(t *rapid.T) *owner { return &m.owners[rapid.IntRange(0, 1).Draw(t, "owner")] }
+func (sys *system) actions() map[string]func(*rapid.T) {
+	pick := func(t *rapid.T) *owner { return &sys.owners[rapid.IntRange(0, 1).Draw(t, "owner")] }
 	return map[string]func(*rapid.T){
-		"": m.check,
+		"": sys.check,
 		"read": func(t *rapid.T) {
-			m.step++
-			m.read(pick(t))
+			sys.step++
+			sys.read(pick(t))
 		},
 		"load": func(t *rapid.T) {
-			h := pick(t)
-			m.sometimesRead(t, h)
+			own := pick(t)
+			sys.sometimesRead(t, own)
 			e := Entry{
 				Model:   rapid.SampledFrom([]string{"a", "b"}).Draw(t, "model"),
 				Version: rapid.SampledFrom([]string{"1", "1", "2"}).Draw(t, "version"),
 				Bytes:   int64(rapid.SampledFrom([]int{40, 60}).Draw(t, "bytes")),
 			}
-			if next, err := h.record.Load(e, capacity, h.version, m.now); err == nil {
-				m.write(h, next)
+			if next, err := own.record.Load(e, capacity, own.version, sys.now); err == nil {
+				sys.write(own, next)
 			}
 		},
 		"evict": func(t *rapid.T) {
-			h := pick(t)
-			m.sometimesRead(t, h)
-			if len(h.record.Entries) == 0 {
+			own := pick(t)
+			sys.sometimesRead(t, own)
+			if len(own.record.Entries) == 0 {
 				t.Skip("nothing held")
 			}
-			e := h.record.Entries[rapid.IntRange(0, len(h.record.Entries)-1).Draw(t, "entry")]
-			if next, err := h.record.Evict(e.Model, e.Version, "", h.version, m.now); err == nil {
-				m.write(h, next)
+			e := own.record.Entries[rapid.IntRange(0, len(own.record.Entries)-1).Draw(t, "entry")]
+			if next, err := own.record.Evict(e.Model, e.Version, "", own.version, sys.now); err == nil {
+				sys.write(own, next)
 			}
 		},
 		"send": func(t *rapid.T) {
-			h := pick(t)
-			for _, e := range h.record.Entries {
+			own := pick(t)
+			for _, e := range own.record.Entries {
 				if e.State != Loading && e.State != Evicting {
 					continue
 				}
 				// An owner that is suspended after this check sends late. An
 				// endpoint that checks fencing numbers must refuse such orders, so
 				// here no time bounds them.
-				if !m.rules.Fenced && !e.MaySend(m.now) {
+				if !sys.rules.Fenced && !e.MaySend(sys.now) {
 					continue
 				}
-				msg := message{order: e.Order(h.version)}
-				if !m.rules.Fenced {
-					msg.until = m.now.Add(m.rules.Lifetime)
+				msg := message{order: e.Order(own.version)}
+				if !sys.rules.Fenced {
+					msg.until = sys.now.Add(sys.rules.Lifetime)
 				}
-				m.inFlight = append(m.inFlight, msg)
+				sys.inFlight = append(sys.inFlight, msg)
 			}
 		},
 		"deliver": func(t *rapid.T) {
-			if len(m.inFlight) == 0 {
+			if len(sys.inFlight) == 0 {
 				t.Skip("nothing under way")
 			}
-			i := rapid.IntRange(0, len(m.inFlight)-1).Draw(t, "message")
-			msg := m.inFlight[i]
+			i := rapid.IntRange(0, len(sys.inFlight)-1).Draw(t, "message")
+			msg := sys.inFlight[i]
 			if !rapid.Bool().Draw(t, "duplicated") {
-				m.inFlight = slices.Delete(m.inFlight, i, i+1)
+				sys.inFlight = slices.Delete(sys.inFlight, i, i+1)
 			}
-			if msg.until.IsZero() || !m.now.After(msg.until) {
-				m.arrive(msg.order)
+			if msg.until.IsZero() || !sys.now.After(msg.until) {
+				sys.arrive(msg.order)
 			}
 		},
 		"lose": func(t *rapid.T) {
-			if len(m.inFlight) == 0 {
+			if len(sys.inFlight) == 0 {
 				t.Skip("nothing under way")
 			}
-			i := rapid.IntRange(0, len(m.inFlight)-1).Draw(t, "message")
-			m.inFlight = slices.Delete(m.inFlight, i, i+1)
+			i := rapid.IntRange(0, len(sys.inFlight)-1).Draw(t, "message")
+			sys.inFlight = slices.Delete(sys.inFlight, i, i+1)
 		},
 		"finish": func(*rapid.T) {
-			for key, r := range m.held {
+			for key, r := range sys.held {
 				r.Ready = true
-				m.held[key] = r
+				sys.held[key] = r
 			}
 		},
 		// A restart closes all connections and so loses all orders under way.
 		"restart": func(*rapid.T) {
-			clear(m.held)
-			m.inFlight = nil
+			clear(sys.held)
+			sys.inFlight = nil
 		},
 		"observe": func(t *rapid.T) {
-			m.step++
-			h := pick(t)
-			h.obs, h.obsAt = m.observation(), m.step
+			sys.step++
+			own := pick(t)
+			own.obs, own.obsAt = sys.observation(), sys.step
 		},
 		"settle": func(t *rapid.T) {
-			h := pick(t)
-			if h.obsAt <= h.readAt {
+			own := pick(t)
+			if own.obsAt <= own.readAt {
 				t.Skip("the observation is older than the record")
 			}
-			next, settled := h.record.Settle(h.obs, m.rules, h.version, m.now)
-			next, again := next.Authorise(h.obs, m.rules, m.now)
+			next, settled := own.record.Settle(own.obs, sys.rules, own.version, sys.now)
+			next, again := next.Authorise(own.obs, sys.rules, sys.now)
 			if settled || again {
-				m.write(h, next)
+				sys.write(own, next)
 			}
 		},
 		// A tick is what an owner does that is not suspended.
 		"tick": func(t *rapid.T) {
-			h := pick(t)
-			m.step++
-			m.read(h)
-			next, settled := h.record.Settle(m.observation(), m.rules, h.version, m.now)
-			next, again := next.Authorise(m.observation(), m.rules, m.now)
+			own := pick(t)
+			sys.step++
+			sys.read(own)
+			next, settled := own.record.Settle(sys.observation(), sys.rules, own.version, sys.now)
+			next, again := next.Authorise(sys.observation(), sys.rules, sys.now)
 			if settled || again {
-				m.write(h, next)
+				sys.write(own, next)
 			}
 		},
 		"wait": func(t *rapid.T) {
-			m.now = m.now.Add(time.Duration(rapid.IntRange(1, 30).Draw(t, "seconds")) * time.Second)
+			sys.now = sys.now.Add(time.Duration(rapid.IntRange(1, 30).Draw(t, "seconds")) * time.Second)
 		},
 	}
 }
@@ -264,8 +264,8 @@
 	for _, fenced := range []bool{true, false} {
 		t.Run(fmt.Sprint("fenced ", fenced), func(t *testing.T) {
 			rapid.Check(t, func(t *rapid.T) {
-				m := newSystem(fenced)
-				t.Repeat(m.actions())
+				sys := newSystem(fenced)
+				t.Repeat(sys.actions())
 			})
 		})
 	}
@@ -275,46 +275,46 @@
 // With a working network, every order must settle in a bounded number of steps.
 func TestOrdersSettle(t *testing.T) {
 	for _, fenced := range []bool{true, false} {
-		m := newSystem(fenced)
-		h := &m.owners[0]
+		sys := newSystem(fenced)
+		own := &sys.owners[0]
 		tick := func() {
-			m.step++
-			m.read(h)
-			m.step++
-			obs := m.observation()
-			next, _ := h.record.Settle(obs, m.rules, h.version, m.now)
-			next, _ = next.Authorise(obs, m.rules, m.now)
-			m.write(h, next)
-			for _, e := range h.record.Entries {
-				if e.Pending(obs, m.rules) && e.MaySend(m.now) {
-					m.arrive(e.Order(h.version))
+			sys.step++
+			sys.read(own)
+			sys.step++
+			obs := sys.observation()
+			next, _ := own.record.Settle(obs, sys.rules, own.version, sys.now)
+			next, _ = next.Authorise(obs, sys.rules, sys.now)
+			sys.write(own, next)
+			for _, e := range own.record.Entries {
+				if e.Pending(obs, sys.rules) && e.MaySend(sys.now) {
+					sys.arrive(e.Order(own.version))
 				}
 			}
-			m.actions()["finish"](nil)
-			m.now = m.now.Add(time.Second)
+			sys.actions()["finish"](nil)
+			sys.now = sys.now.Add(time.Second)
 		}
-		m.read(h)
-		next, err := h.record.Load(Entry{Model: "a", Version: "1", Bytes: 60}, capacity, h.version, m.now)
+		sys.read(own)
+		next, err := own.record.Load(Entry{Model: "a", Version: "1", Bytes: 60}, capacity, own.version, sys.now)
 		assert.NilError(t, err)
-		m.write(h, next)
+		sys.write(own, next)
 		tick()
 		tick()
-		assert.Assert(t, m.record.HasReady("a"))
-		_, err = m.record.Load(Entry{Model: "b", Version: "1", Bytes: 50}, capacity, m.version, m.now)
+		assert.Assert(t, sys.record.HasReady("a"))
+		_, err = sys.record.Load(Entry{Model: "b", Version: "1", Bytes: 50}, capacity, sys.version, sys.now)
 		assert.Assert(t, errors.Is(err, core.ErrOverCommit))
-		clear(m.held) // the engine restarts and holds nothing
+		clear(sys.held) // the engine restarts and holds nothing
 		tick()
 		tick()
 		tick()
-		assert.Assert(t, m.record.HasReady("a"), "not loaded again after a restart")
-		m.read(h)
-		next, err = h.record.Evict("a", "1", "", h.version, m.now)
+		assert.Assert(t, sys.record.HasReady("a"), "not loaded again after a restart")
+		sys.read(own)
+		next, err = own.record.Evict("a", "1", "", own.version, sys.now)
 		assert.NilError(t, err)
-		m.write(h, next)
+		sys.write(own, next)
 		for range 40 {
 			tick()
 		}
-		assert.Equal(t, m.record.Committed(), int64(0), "fenced %v: %+v", fenced, m.record)
+		assert.Equal(t, sys.record.Committed(), int64(0), "fenced %v: %+v", fenced, sys.record)
 	}
 }
 
