--- a/setting/setting.go
+++ b/setting/setting.go
@@ -15,98 +15,99 @@
 	"primroseward/io/strict"
 )
 
-// File is the settings file as written.
+// File is the content of the settings file.
 type File struct {
-	Note     string   `json:"note,omitempty"` // for people
+	Note     string   `json:"note,omitempty"` // comment for operators
 	Name     string   `json:"name"`           // unique among the daemons
 	Place    string   `json:"place"`          // data centre
 	Caller   string   `json:"caller"`         // IP:port for callers
 	Peer     string   `json:"peer"`           // IP:port for other daemons, TCP and UDP
 	Admin    string   `json:"admin"`          // IP:port for operators, metrics and health
-	Platform string   `json:"platform"`       // IP:port of the object API
-	Seeds    []string `json:"seeds"`          // peer addresses to join at
-	Token    string   `json:"token"`          // operators' bearer token
+	Platform string   `json:"platform"`       // IP:port of the platform's object API
+	Seeds    []string `json:"seeds"`          // peer addresses by which to join the other daemons
+	Token    string   `json:"token"`          // bearer token of operators
 	Log      Log      `json:"log"`
 	Trace    Trace    `json:"trace"`
 	Held     Held     `json:"held"`
 	Limits   Limits   `json:"limits"`
-	Fleet    *Fleet   `json:"fleet"` // set where callers are served through the platform
+	Fleet    *Fleet   `json:"fleet"` // set if the daemon serves callers through the platform
 }
 
-// Fleet is what a daemon needs where callers ask the system for addresses and
-// runners register themselves in the platform's store.
+// Fleet holds the settings of a daemon where callers get their addresses from the system
+// and runners register themselves in the platform's store.
 type Fleet struct {
 	Ready     string        `json:"ready"`     // IP:port of the readiness check
-	Directory string        `json:"directory"` // IP:port that tells callers which addresses to use
-	Keep      core.Duration `json:"keep"`      // how long callers may keep addresses
-	Grace     core.Duration `json:"grace"`     // from the signal to stop until the process is killed
-	Lease     core.Duration `json:"lease"`     // least time between the orders of two holders
-	Ratio     float64       `json:"ratio"`     // of requests that may be sent once more, over all daemons
-	Slack     float64       `json:"slack"`     // requests that may be sent once more beyond that, over all daemons
-	Window    core.Duration `json:"window"`    // in which both are counted
-	Quota     Quota         `json:"quota"`     // of workspaces
+	Directory string        `json:"directory"` // IP:port from which callers get the addresses to use
+	Keep      core.Duration `json:"keep"`      // how long callers may use these addresses
+	Grace     core.Duration `json:"grace"`     // time from the stop signal until the process is killed
+	Lease     core.Duration `json:"lease"`     // minimum time between the orders of two holders
+	Ratio     float64       `json:"ratio"`     // retry budget as a share of requests, over all daemons
+	Slack     float64       `json:"slack"`     // retries allowed in addition, over all daemons
+	Window    core.Duration `json:"window"`    // time over which both are counted
+	Quota     Quota         `json:"quota"`     // of workspaces' allowances
 	Keys      Keys          `json:"keys"`      // of callers
 }
 
-// Keys is how long callers' keys are trusted that can't be confirmed.
+// Keys says how long callers' keys are accepted while they cannot be confirmed.
 type Keys struct {
-	Closed  bool          `json:"closed"`  // callers are refused then
-	Confirm core.Duration `json:"confirm"` // since the store was last known to have no newer configuration
+	Closed  bool          `json:"closed"`  // callers are refused after that time
+	Confirm core.Duration `json:"confirm"` // time since the store was last confirmed to have no newer configuration
 }
 
-// Quota is over which time workspaces' allowances are checked, and by how much more than
-// these may be let in then, over all daemons.
+// Quota says over which time window workspaces' allowances are checked, and by how much
+// all daemons together may exceed them in it.
 type Quota struct {
-	Window core.Duration `json:"window"` // 0: 8s
-	Over   float64       `json:"over"`   // a share of rate and burst
-	Slack  float64       `json:"slack"`  // units
+	Window core.Duration `json:"window"` // 0 means 8s
+	Over   float64       `json:"over"`   // excess as a share of rate and burst
+	Slack  float64       `json:"slack"`  // excess in units
 }
 
-// quotaWindow is a Quota's window where none is given.
-const quotaWindow = 8 * time.Second
+// defaultQuotaWindow is the window of a Quota that sets none.
+const defaultQuotaWindow = 8 * time.Second
 
-// Bounds returns the quota as the rule of allowances has it.
+// Bounds converts the quota to the form that the enforcement of allowances uses.
 func (q Quota) Bounds() core.Window {
 	w := core.Window{Length: time.Duration(q.Window), Over: q.Over, Slack: q.Slack}
 	if w.Length == 0 {
-		w.Length = quotaWindow
+		w.Length = defaultQuotaWindow
 	}
 	return w
 }
 
-// FleetAddrs are the checked addresses of a Fleet.
+// FleetAddrs holds the parsed addresses of a Fleet.
 type FleetAddrs struct {
 	Ready     netip.AddrPort
 	Directory netip.AddrPort
 }
 
-// Log is the logging part.
+// Log holds the logging settings.
 type Log struct {
 	Level string `json:"level"` // debug, info, warn or error
 }
 
-// Trace is the tracing part.
+// Trace holds the tracing settings.
 type Trace struct {
-	Endpoint string  `json:"endpoint"` // OTLP/HTTP URL; empty: no export
-	Share    float64 `json:"share"`    // of requests traced, 0 to 1
+	Endpoint string  `json:"endpoint"` // OTLP/HTTP URL; empty disables the export
+	Share    float64 `json:"share"`    // share of requests that are traced, 0 to 1
 }
 
-// Held bounds the answers kept for callers that come back.
+// Held bounds the finished answers that are kept for callers that reconnect.
 type Held struct {
-	Bytes core.Bytes    `json:"bytes"`
-	Life  core.Duration `json:"life"`
+	Bytes core.Bytes    `json:"bytes"` // total size
+	Life  core.Duration `json:"life"`  // how long an answer is kept
 }
 
-// Limits bounds what callers send and how the platform is called.
+// Limits bounds what callers send and how often the platform is called, and declares how
+// much of a processor the daemon may use.
 type Limits struct {
-	Header   core.Bytes    `json:"header"`
-	Body     core.Bytes    `json:"body"`
-	Sender   core.Duration `json:"sender"`   // longest time for a request's body
-	Platform float64       `json:"platform"` // calls per second
-	Cores    float64       `json:"cores"`    // of a processor that the daemon may use; 0: not known
+	Header   core.Bytes    `json:"header"`   // size of the request header
+	Body     core.Bytes    `json:"body"`     // size of the request body
+	Sender   core.Duration `json:"sender"`   // longest time in which a request body must arrive
+	Platform float64       `json:"platform"` // calls of the platform per second
+	Cores    float64       `json:"cores"`    // processor cores that the daemon may use; 0 means unknown
 }
 
-// Setting is a checked File.
+// Setting is a validated File with its parsed addresses and log level.
 type Setting struct {
 	File
 	CallerAddr   netip.AddrPort
@@ -127,7 +128,7 @@
 	}
 }
 
-// Load reads a settings file and reports all of its faults at once.
+// Load reads and validates a settings file. Its error lists all faults of the file.
 func Load(path string) (*Setting, error) {
 	data, err := os.ReadFile(path)
 	if err != nil {
@@ -136,15 +137,15 @@
 	return Parse(data)
 }
 
-// Parse checks the text of a settings file.
+// Parse validates the content of a settings file. Its error lists all faults.
 func Parse(data []byte) (*Setting, error) {
 	s := &Setting{File: defaults()}
 	if err := strict.Decode(data, &s.File); err != nil {
 		return nil, err
 	}
 	c := &checker{}
-	c.filled("name", s.Name)
-	c.filled("place", s.Place)
+	c.required("name", s.Name)
+	c.required("place", s.Place)
 	s.CallerAddr = c.addr("caller", s.Caller)
 	s.PeerAddr = c.addr("peer", s.Peer)
 	s.AdminAddr = c.addr("admin", s.Admin)
@@ -164,13 +165,14 @@
 	return s, nil
 }
 
+// checker collects the faults of a settings file.
 type checker struct{ found strict.Problems }
 
 func (c *checker) add(path, text string) {
 	c.found = append(c.found, strict.Problem{Path: path, Text: text})
 }
 
-func (c *checker) filled(path, v string) {
+func (c *checker) required(path, v string) {
 	if v == "" {
 		c.add(path, "must be set")
 	}
@@ -191,12 +193,12 @@
 	}
 	s.FleetAddrs.Ready = c.addr("fleet.ready", f.Ready)
 	s.FleetAddrs.Directory = c.addr("fleet.directory", f.Directory)
-	for _, one := range []struct {
+	for _, field := range []struct {
 		path  string
 		value core.Duration
 	}{{"keep", f.Keep}, {"grace", f.Grace}, {"lease", f.Lease}, {"window", f.Window}} {
-		if one.value <= 0 {
-			c.add("fleet."+one.path, "must be above zero")
+		if field.value <= 0 {
+			c.add("fleet."+field.path, "must be above zero")
 		}
 	}
 	if f.Quota.Window < 0 || f.Quota.Over < 0 || f.Quota.Slack < 0 {
--- a/setting/setting_test.go
+++ b/setting/setting_test.go
@@ -11,7 +11,8 @@
 	"primroseward/core"
 )
 
-func TestSampleIsGood(t *testing.T) {
+// The sample settings file is valid, and a missing file is reported as such.
+func TestSampleIsValid(t *testing.T) {
 	s, err := Load("../docs/samples/primrosed.json")
 	assert.NilError(t, err)
 	assert.Equal(t, s.Name, "vm-1")
@@ -20,7 +21,8 @@
 	assert.Assert(t, errors.Is(err, os.ErrNotExist))
 }
 
-func TestAllFaultsAtOnce(t *testing.T) {
+// All faults of a file are reported together, not only the first one.
+func TestAllFaultsAreReported(t *testing.T) {
 	cases := []struct {
 		text string
 		want []string
@@ -35,9 +37,9 @@
 			},
 		},
 	}
-	for _, one := range cases {
-		_, err := Parse([]byte(one.text))
+	for _, tt := range cases {
+		_, err := Parse([]byte(tt.text))
 		assert.Assert(t, errors.Is(err, core.ErrInvalid))
-		assert.DeepEqual(t, strings.Split(err.Error(), "\n"), one.want)
+		assert.DeepEqual(t, strings.Split(err.Error(), "\n"), tt.want)
 	}
 }
--- a/state/tree/check.go
+++ b/state/tree/check.go
@@ -28,13 +28,14 @@
 	Log  []Edit `json:"log"` // newest first
 }
 
-// Add puts an edit on the log.
+// Add prepends an edit to the log and drops the oldest beyond maxLog.
 func (s *Stored) Add(e Edit) {
 	s.Log = append([]Edit{e}, s.Log...)
 	s.Log = s.Log[:min(len(s.Log), maxLog)]
 }
 
-// ParseBranch reads one branch and checks its shape, all faults at once.
+// ParseBranch decodes the body of a branch. Its error lists all faults of the JSON
+// structure.
 func ParseBranch(body []byte) (*Stored, error) {
 	s := &Stored{}
 	if err := strict.Decode(body, s); err != nil {
@@ -46,7 +47,7 @@
 	return s, nil
 }
 
-// ParseNode reads a node as an operator writes it.
+// ParseNode decodes a node as an operator writes it.
 func ParseNode(body []byte) (*Node, error) {
 	n := &Node{}
 	if err := strict.Decode(body, n); err != nil {
@@ -55,7 +56,7 @@
 	return n, nil
 }
 
-// Split divides a whole tree, given as its root node, into branches.
+// Split splits a whole tree, given as its root node, into branches.
 func Split(root *Node) map[string]*Node {
 	out := map[string]*Node{}
 	top := *root
@@ -67,39 +68,39 @@
 	return out
 }
 
-// CheckOption changes what Check takes for a fault.
+// CheckOption configures what Check reports as a fault.
 type CheckOption func(*checker)
 
-// WithOffered is for a tree over a configuration: offered says whether that one
-// describes a service or a model.
+// WithOffered is for a tree over a configuration: offered reports whether the
+// configuration describes a service or a model.
 func WithOffered(offered func(kind, name string) bool) CheckOption {
 	return func(c *checker) { c.offered = offered }
 }
 
-// Check returns all faults of a tree: widening children, dangling names and
-// values out of range.
+// Check returns all faults of a tree: children that widen the settings of their parents,
+// names that refer to nothing, duplicate descriptions and values out of range.
 func Check(branches map[string]*Node, opts ...CheckOption) strict.Problems {
-	c := checker{tree: New(branches), places: map[string]bool{}, offered: func(string, string) bool { return false }}
+	c := checker{tree: New(branches), dataCentres: map[string]bool{}, offered: func(string, string) bool { return false }}
 	for _, o := range opts {
 		o(&c)
 	}
 	if root := branches[Root]; root != nil && root.Set.Places != nil {
 		for _, p := range *root.Set.Places {
-			c.places[p] = true
+			c.dataCentres[p] = true
 		}
 	}
-	for _, one := range c.tree.nodes {
-		c.node(one.path, one.node)
+	for _, n := range c.tree.nodes {
+		c.node(n.path, n.node)
 	}
-	c.once()
+	c.unique()
 	return c.found
 }
 
 type checker struct {
-	tree    *Tree
-	places  map[string]bool // named at the root; empty: any
-	offered func(kind, name string) bool
-	found   strict.Problems
+	tree        *Tree
+	dataCentres map[string]bool // named at the root; empty: any
+	offered     func(kind, name string) bool
+	found       strict.Problems
 }
 
 func (c *checker) add(p Path, field, format string, args ...any) {
@@ -111,7 +112,7 @@
 	if len(p) > 0 && !validElem(kind, name) {
 		c.add(p, "(name)", "want service/NAME, model/NAME or place/NAME")
 	}
-	if kind == ElemPlace && !c.knownPlace(name) {
+	if kind == ElemDataCentre && !c.knownDataCentre(name) {
 		c.add(p, "(name)", "place %q is not among the root's places", name)
 	}
 	c.values(p, &n.Set)
@@ -129,8 +130,8 @@
 	}
 }
 
-func (c *checker) knownPlace(name string) bool {
-	return len(c.places) == 0 || c.places[name]
+func (c *checker) knownDataCentre(name string) bool {
+	return len(c.dataCentres) == 0 || c.dataCentres[name]
 }
 
 func (c *checker) values(p Path, s *Settings) {
@@ -148,29 +149,29 @@
 	if s.Places == nil {
 		return
 	}
-	for _, place := range *s.Places {
-		if len(p) > 0 && !c.knownPlace(place) {
-			c.add(p, "set.places", "place %q is not among the root's places", place)
+	for _, dataCentre := range *s.Places {
+		if len(p) > 0 && !c.knownDataCentre(dataCentre) {
+			c.add(p, "set.places", "place %q is not among the root's places", dataCentre)
 		}
 	}
 }
 
-// narrows compares a node with the fold of its ancestors. A later narrowing
-// of an ancestor needs no edit below it: the fold intersects in any case.
+// narrows checks that a node only narrows the fold of its ancestors. When an ancestor is
+// narrowed later, the nodes below it need no edit, since the fold intersects in any case.
 func (c *checker) narrows(p Path, s *Settings) {
 	if len(p) == 0 {
 		return
 	}
 	parent := defaults()
-	for _, one := range c.tree.nodes {
-		if len(one.path) < len(p) && slices.Equal(one.path, p[:len(one.path)]) {
-			parent.fold(one.path.String(), &one.node.Set)
+	for _, n := range c.tree.nodes {
+		if len(n.path) < len(p) && slices.Equal(n.path, p[:len(n.path)]) {
+			parent.fold(n.path.String(), &n.node.Set)
 		}
 	}
 	if s.Places != nil && !parent.AnyPlace {
-		for _, place := range *s.Places {
-			if !parent.Allows(place) {
-				c.add(p, "set.places", "widens: has %q, %s allows %v", place, parent.Origin["places"], parent.Places)
+		for _, dataCentre := range *s.Places {
+			if !parent.Allows(dataCentre) {
+				c.add(p, "set.places", "widens: has %q, %s allows %v", dataCentre, parent.Origin["places"], parent.Places)
 			}
 		}
 	}
@@ -195,9 +196,10 @@
 	}
 }
 
-func widens[N int | int64 | float64 | time.Duration](c *checker, p Path, parent *Effective, field string, v, have N) {
-	if v > 0 && parent.Origin[field] != "" && v > have {
-		c.add(p, "set."+field, "widens: %v, %s has %v", v, parent.Origin[field], have)
+// widens adds a fault if a node sets a limit v above that of its parent.
+func widens[N int | int64 | float64 | time.Duration](c *checker, p Path, parent *Effective, field string, v, limit N) {
+	if v > 0 && parent.Origin[field] != "" && v > limit {
+		c.add(p, "set."+field, "widens: %v, %s has %v", v, parent.Origin[field], limit)
 	}
 }
 
@@ -256,7 +258,7 @@
 	if _, err := netip.ParseAddrPort(e.Addr); err != nil {
 		c.add(p, field+".addr", "want IP:port, got %q", e.Addr)
 	}
-	if e.Place == "" || !c.knownPlace(e.Place) {
+	if e.Place == "" || !c.knownDataCentre(e.Place) {
 		c.add(p, field+".place", "place %q is not among the root's places", e.Place)
 	}
 	if e.Slots <= 0 {
@@ -276,27 +278,27 @@
 	}
 }
 
-// once finds endpoints, models and services that are described twice; which
-// one would hold depended on the order of branches.
-func (c *checker) once() {
+// unique checks that no endpoint, model or service is described twice. Otherwise the order
+// of the branches would decide which description is in force.
+func (c *checker) unique() {
 	seen := map[string]Path{}
-	note := func(p Path, key string) {
-		if first, twice := seen[key]; twice {
+	record := func(p Path, key string) {
+		if first, found := seen[key]; found {
 			c.add(p, key, "described already at %s", first)
 			return
 		}
 		seen[key] = p
 	}
-	for _, one := range c.tree.nodes {
-		kind, name := one.path.last()
-		if one.node.Model != nil {
-			note(one.path, kind+" "+name)
+	for _, n := range c.tree.nodes {
+		kind, name := n.path.last()
+		if n.node.Model != nil {
+			record(n.path, kind+" "+name)
 		}
-		if one.node.Service != nil {
-			note(one.path, kind+" "+name)
+		if n.node.Service != nil {
+			record(n.path, kind+" "+name)
 		}
-		for _, id := range sortedKeys(one.node.Endpoints) {
-			note(one.path, "endpoints."+id)
+		for _, id := range sortedKeys(n.node.Endpoints) {
+			record(n.path, "endpoints."+id)
 		}
 	}
 }
--- a/state/tree/node.go
+++ b/state/tree/node.go
@@ -1,6 +1,6 @@
-// Package tree is the settings tree: its nodes, the rule that a child only
-// narrows its parent, the effective values at a place in the tree, and the
-// versions of its branches.
+// Package tree implements the settings tree: its nodes, the rule that a child may only
+// narrow the settings of its parent, the effective settings for a request or decision, and
+// the versioned branches in which the tree is stored.
 package tree
 
 import (
@@ -9,45 +9,45 @@
 	"primroseward/core"
 )
 
-// Root is the name of the branch that holds the root node alone.
+// Root is the name of the branch that holds only the root node.
 const Root = "/"
 
 // Kinds of path elements.
 const (
-	ElemService = "service"
-	ElemModel   = "model"
-	ElemPlace   = "place"
+	ElemService    = "service"
+	ElemModel      = "model"
+	ElemDataCentre = "place" // data centre
 )
 
-// Settings are the inherited values. A nil or zero field is inherited.
+// Settings are the settings that a node sets. A nil or zero field is inherited.
 type Settings struct {
-	Places      *[]string                `json:"places,omitempty"`      // where requests may be served
-	Concurrency int                      `json:"concurrency,omitempty"` // requests in progress at one entry
-	Rate        float64                  `json:"rate,omitempty"`        // requests per second at one entry
-	Body        core.Bytes               `json:"body,omitempty"`        // largest request body
-	Deadline    core.Duration            `json:"deadline,omitempty"`    // whole time for a request
-	Stall       core.Duration            `json:"stall,omitempty"`       // longest silence of an endpoint
-	Targets     map[string]core.Duration `json:"targets,omitempty"`     // first byte, per class
-	Class       core.Class               `json:"class,omitempty"`       // of requests that name none
+	Places      *[]string                `json:"places,omitempty"`      // data centres where requests may be served
+	Concurrency int                      `json:"concurrency,omitempty"` // requests in progress per entry
+	Rate        float64                  `json:"rate,omitempty"`        // requests per second per entry
+	Body        core.Bytes               `json:"body,omitempty"`        // size limit of a request body
+	Deadline    core.Duration            `json:"deadline,omitempty"`    // total time for a request
+	Stall       core.Duration            `json:"stall,omitempty"`       // longest time for which an endpoint may send nothing
+	Targets     map[string]core.Duration `json:"targets,omitempty"`     // time to first byte, per class
+	Class       core.Class               `json:"class,omitempty"`       // class of requests that name none
 	Repeat      *bool                    `json:"repeat,omitempty"`      // whether a request may run twice
-	Fresh       core.Duration            `json:"fresh,omitempty"`       // refuse when settings are unconfirmed for longer
-	Moves       float64                  `json:"moves,omitempty"`       // price of a move in targets met
-	Attainment  float64                  `json:"attainment,omitempty"`  // weight of a target met
+	Fresh       core.Duration            `json:"fresh,omitempty"`       // requests are refused if the settings have been unconfirmed for longer
+	Moves       float64                  `json:"moves,omitempty"`       // cost of a move, in requests that meet their target
+	Attainment  float64                  `json:"attainment,omitempty"`  // weight of a request that meets its target
 }
 
-// Model is what the planner needs to know of a model or adapter.
+// Model describes a model or adapter to the planner.
 type Model struct {
 	Version string        `json:"version"`
 	Memory  core.Bytes    `json:"memory"`
-	Base    string        `json:"base,omitempty"` // set for adapters
-	Load    core.Duration `json:"load,omitempty"` // usual time of a load
+	Base    string        `json:"base,omitempty"` // base model of an adapter, else empty
+	Load    core.Duration `json:"load,omitempty"` // usual duration of a load
 }
 
-// CallRule says whether calls of a plain service may be repeated. The first
-// rule whose method and path prefix match holds.
+// CallRule says whether calls to a plain service are repeatable. The first rule whose
+// method and path prefix match applies.
 type CallRule struct {
 	Method string `json:"method"`
-	Path   string `json:"path"`
+	Path   string `json:"path"` // prefix
 	Repeat bool   `json:"repeat"`
 }
 
@@ -65,27 +65,27 @@
 
 // Endpoint describes one endpoint.
 type Endpoint struct {
-	Addr    string     `json:"addr"` // IP:port
-	Place   string     `json:"place"`
-	Kind    string     `json:"kind"` // "model" or "plain"
-	Service string     `json:"service,omitempty"`
-	Memory  core.Bytes `json:"memory,omitempty"` // of its accelerators
-	Cache   core.Bytes `json:"cache,omitempty"`  // part of Memory kept for KV cache
-	Slots   int        `json:"slots"`            // requests that it runs at once
-	Fenced  bool       `json:"fenced,omitempty"` // refuses old fencing numbers
-	Drain   bool       `json:"drain,omitempty"`  // gets no new work
+	Addr    string     `json:"addr"`              // IP:port
+	Place   string     `json:"place"`             // data centre
+	Kind    string     `json:"kind"`              // "model" or "plain"
+	Service string     `json:"service,omitempty"` // of a plain endpoint
+	Memory  core.Bytes `json:"memory,omitempty"`  // of its accelerators
+	Cache   core.Bytes `json:"cache,omitempty"`   // part of Memory reserved for the KV cache
+	Slots   int        `json:"slots"`             // requests that it runs concurrently
+	Fenced  bool       `json:"fenced,omitempty"`  // the endpoint refuses orders with old fencing numbers
+	Drain   bool       `json:"drain,omitempty"`   // the endpoint gets no new work
 }
 
-// Store is the weight store's limits and the planner's switch.
+// Store holds the limits of the weight store and the switch that pauses the planner.
 type Store struct {
-	Rate  float64 `json:"rate"`  // loads per second
-	Slots int     `json:"slots"` // loads at once
-	Pause bool    `json:"pause,omitempty"`
+	Rate  float64 `json:"rate"`            // loads per second
+	Slots int     `json:"slots"`           // concurrent loads
+	Pause bool    `json:"pause,omitempty"` // pauses the planner
 }
 
-// Node is one node of the tree. Children are keyed "kind/name".
+// Node is one node of the tree. The keys of Children are "kind/name".
 type Node struct {
-	Note      string              `json:"note,omitempty"` // for people
+	Note      string              `json:"note,omitempty"` // comment for operators
 	Set       Settings            `json:"set"`
 	Model     *Model              `json:"model,omitempty"`
 	Service   *Service            `json:"service,omitempty"`
@@ -94,10 +94,10 @@
 	Children  map[string]*Node    `json:"children,omitempty"`
 }
 
-// Path is the list of "kind/name" elements from the root.
+// Path is a list of "kind/name" elements, starting below the root.
 type Path []string
 
-// ParsePath reads "/service/a/model/b"; "/" is the root.
+// ParsePath parses a path such as "/service/a/model/b". "/" is the root.
 func ParsePath(s string) (Path, bool) {
 	trimmed := strings.Trim(s, "/")
 	if trimmed == "" {
@@ -118,8 +118,8 @@
 }
 
 func validElem(kind, name string) bool {
-	known := kind == ElemService || kind == ElemModel || kind == ElemPlace
-	return known && name != ""
+	valid := kind == ElemService || kind == ElemModel || kind == ElemDataCentre
+	return valid && name != ""
 }
 
 func (p Path) String() string { return "/" + strings.Join(p, "/") }
@@ -143,14 +143,15 @@
 	return n
 }
 
-// Coord names what a request or a decision is about; empty parts match only
-// nodes that do not name that part.
+// Coord is what a request or a decision is for. An empty field matches only nodes whose
+// path has no element of that kind.
 type Coord struct {
 	Service string
 	Model   string
-	Place   string
+	Place   string // data centre
 }
 
+// match reports whether a node at path p applies to c.
 func (c Coord) match(p Path) bool {
 	for _, elem := range p {
 		kind, name, _ := strings.Cut(elem, "/")
@@ -163,7 +164,7 @@
 			if c.Model != name {
 				return false
 			}
-		case ElemPlace:
+		case ElemDataCentre:
 			if c.Place != name {
 				return false
 			}
--- a/state/tree/tree.go
+++ b/state/tree/tree.go
@@ -10,7 +10,7 @@
 	"primroseward/core"
 )
 
-// Defaults of the root, in force where no node says otherwise.
+// Default settings, in force where no node sets a value.
 const (
 	defaultConcurrency = 1000
 	defaultBody        = 8 << 20
@@ -19,32 +19,32 @@
 	defaultTarget      = 10 * time.Second
 )
 
-// placed is one node with its path from the root.
-type placed struct {
+// pathNode is one node with its path from the root.
+type pathNode struct {
 	path Path
 	node *Node
 }
 
-// Tree is one immutable state of the settings, safe for concurrent use.
+// Tree is one immutable version of the settings. It is safe for concurrent use.
 type Tree struct {
-	nodes     []placed // parents before children
-	models    map[string]Model
-	services  map[string]Service
-	endpoints map[string]Endpoint
-	members   map[string][]string // model to the services below which it stands
-	store     Store
-	overlay   bool
-	cache     sync.Map // Coord to *Effective
+	nodes      []pathNode // parents before children
+	models     map[string]Model
+	services   map[string]Service
+	endpoints  map[string]Endpoint
+	servicesOf map[string][]string // model to the services that have a node for it below them
+	store      Store
+	overlay    bool     // see NewOverlay
+	cache      sync.Map // Coord to *Effective
 }
 
 // New builds a tree from its branches. A nil branch counts as absent.
 func New(branches map[string]*Node) *Tree {
 	t := &Tree{
-		models:    map[string]Model{},
-		services:  map[string]Service{},
-		endpoints: map[string]Endpoint{},
-		members:   map[string][]string{},
-		store:     Store{Rate: 2, Slots: 4},
+		models:     map[string]Model{},
+		services:   map[string]Service{},
+		endpoints:  map[string]Endpoint{},
+		servicesOf: map[string][]string{},
+		store:      Store{Rate: 2, Slots: 4},
 	}
 	if root := branches[Root]; root != nil {
 		t.add(nil, &Node{Set: root.Set, Store: root.Store, Endpoints: root.Endpoints})
@@ -54,34 +54,35 @@
 			t.add(Path{name}, branches[name])
 		}
 	}
-	for _, services := range t.members {
+	for _, services := range t.servicesOf {
 		slices.Sort(services)
 	}
 	return t
 }
 
-// NewOverlay builds a tree over a configuration, which gives the limits where
-// no node does.
+// NewOverlay builds a tree over a configuration, which has the limits where no node sets
+// one. The defaults of this package do not apply.
 func NewOverlay(branches map[string]*Node) *Tree {
 	t := New(branches)
 	t.overlay = true
 	return t
 }
 
-// Empty says whether no node says anything.
+// Empty reports whether the tree has no nodes.
 func (t *Tree) Empty() bool { return len(t.nodes) == 0 }
 
 func (t *Tree) add(p Path, n *Node) {
 	if n == nil {
 		return
 	}
-	t.nodes = append(t.nodes, placed{path: p, node: n})
+	t.nodes = append(t.nodes, pathNode{path: p, node: n})
 	t.collect(p, n)
 	for _, elem := range sortedKeys(n.Children) {
 		t.add(append(slices.Clone(p), elem), n.Children[elem])
 	}
 }
 
+// collect indexes what a node describes.
 func (t *Tree) collect(p Path, n *Node) {
 	kind, name := p.last()
 	if n.Model != nil && kind == ElemModel {
@@ -100,12 +101,13 @@
 		return
 	}
 	for _, elem := range p {
-		if s, ok := strings.CutPrefix(elem, ElemService+"/"); ok && !slices.Contains(t.members[name], s) {
-			t.members[name] = append(t.members[name], s)
+		if s, ok := strings.CutPrefix(elem, ElemService+"/"); ok && !slices.Contains(t.servicesOf[name], s) {
+			t.servicesOf[name] = append(t.servicesOf[name], s)
 		}
 	}
 }
 
+// last splits the last element of a path.
 func (p Path) last() (kind, name string) {
 	if len(p) == 0 {
 		return "", ""
@@ -123,7 +125,7 @@
 	return keys
 }
 
-// Model returns a model's description.
+// Model returns the description of a model.
 func (t *Tree) Model(name string) (Model, bool) {
 	m, ok := t.models[name]
 	return m, ok
@@ -132,41 +134,41 @@
 // Models returns the names of all models, sorted.
 func (t *Tree) Models() []string { return sortedKeys(t.models) }
 
-// Service returns a service's description.
+// Service returns the description of a service.
 func (t *Tree) Service(name string) (Service, bool) {
 	s, ok := t.services[name]
 	return s, ok
 }
 
-// ServiceOf returns the service of a request for a model that names none: the
-// only service below which the model stands, or none.
+// ServiceOf returns the service of a request that names a model but no service: the only
+// service with a node for the model below it, or "" if there is none or more than one.
 func (t *Tree) ServiceOf(model string) string {
-	if s := t.members[model]; len(s) == 1 {
+	if s := t.servicesOf[model]; len(s) == 1 {
 		return s[0]
 	}
 	return ""
 }
 
-// Offers says whether a service may use a model: an unlisted service name, or
-// a model that stands below other services only, is not offered.
+// Offers reports whether a service may use a model: the model must have a node below the
+// service. Without a service, it must have no node below any service.
 func (t *Tree) Offers(service, model string) bool {
 	if service == "" {
-		return len(t.members[model]) == 0
+		return len(t.servicesOf[model]) == 0
 	}
-	return slices.Contains(t.members[model], service)
+	return slices.Contains(t.servicesOf[model], service)
 }
 
 // Endpoints returns all endpoints by name. The map must not be changed.
 func (t *Tree) Endpoints() map[string]Endpoint { return t.endpoints }
 
-// Store returns the weight store's limits.
+// Store returns the limits of the weight store.
 func (t *Tree) Store() Store { return t.store }
 
-// Effective is the settings in force for a Coord, with the path that gave
-// each value. Limits of 0 are none.
+// Effective holds the settings in force for a Coord, with the path of the node that set
+// each value. A limit of 0 means unlimited.
 type Effective struct {
-	AnyPlace    bool // no node names places
-	Places      []string
+	AnyPlace    bool     // no node restricts the data centres
+	Places      []string // allowed data centres unless AnyPlace
 	Concurrency int
 	Rate        float64
 	Body        int64
@@ -178,19 +180,20 @@
 	Fresh       time.Duration // 0: no limit
 	Moves       float64
 	Attainment  float64
-	Origin      map[string]string // field to path
+	Origin      map[string]string // name of the setting to path of the node
 }
 
-// Allows says whether requests may be served in a place.
-func (e *Effective) Allows(place string) bool {
-	return e.AnyPlace || slices.Contains(e.Places, place)
+// Allows reports whether requests may be served in a data centre.
+func (e *Effective) Allows(dataCentre string) bool {
+	return e.AnyPlace || slices.Contains(e.Places, dataCentre)
 }
 
-// Target returns the longest time to first byte that a class aims at.
+// Target returns the target of a class for the time to first byte.
 func (e *Effective) Target(c core.Class) time.Duration { return e.Targets[c.Rank()] }
 
-// Effective folds all nodes that match a Coord: allowed places intersect and
-// limits take the minimum, so the order of the nodes does not matter.
+// Effective returns the settings in force for a Coord. It folds all nodes that match:
+// the result has the intersection of the allowed data centres and the lowest limits, so
+// the order of the nodes does not matter.
 func (t *Tree) Effective(c Coord) *Effective {
 	if e, ok := t.cache.Load(c); ok {
 		return e.(*Effective)
@@ -199,17 +202,17 @@
 	if t.overlay {
 		e = &Effective{AnyPlace: true, Repeat: true, Origin: map[string]string{}}
 	}
-	for _, one := range t.nodes {
-		if c.match(one.path) {
-			e.fold(one.path.String(), &one.node.Set)
+	for _, n := range t.nodes {
+		if c.match(n.path) {
+			e.fold(n.path.String(), &n.node.Set)
 		}
 	}
 	t.cache.Store(c, e)
 	return e
 }
 
-// Allowed returns the effective settings for serving at a place, and whether
-// that place is allowed at all.
+// Allowed returns the effective settings for serving in the data centre of c, and whether
+// that data centre is allowed.
 func (t *Tree) Allowed(c Coord) (*Effective, bool) {
 	e := t.Effective(c)
 	return e, e.Allows(c.Place)
@@ -231,18 +234,19 @@
 	}
 }
 
+// fold narrows e by the settings of the node at path.
 func (e *Effective) fold(path string, s *Settings) {
 	if s.Places != nil {
-		e.narrowPlaces(path, *s.Places)
+		e.narrowDataCentres(path, *s.Places)
 	}
-	least(e, path, "concurrency", &e.Concurrency, s.Concurrency)
-	least(e, path, "rate", &e.Rate, s.Rate)
-	least(e, path, "body", &e.Body, int64(s.Body))
-	least(e, path, "deadline", &e.Deadline, time.Duration(s.Deadline))
-	least(e, path, "stall", &e.Stall, time.Duration(s.Stall))
-	least(e, path, "fresh", &e.Fresh, time.Duration(s.Fresh))
+	lower(e, path, "concurrency", &e.Concurrency, s.Concurrency)
+	lower(e, path, "rate", &e.Rate, s.Rate)
+	lower(e, path, "body", &e.Body, int64(s.Body))
+	lower(e, path, "deadline", &e.Deadline, time.Duration(s.Deadline))
+	lower(e, path, "stall", &e.Stall, time.Duration(s.Stall))
+	lower(e, path, "fresh", &e.Fresh, time.Duration(s.Fresh))
 	for class, d := range s.Targets {
-		least(e, path, "targets."+class, &e.Targets[core.Class(class).Rank()], time.Duration(d))
+		lower(e, path, "targets."+class, &e.Targets[core.Class(class).Rank()], time.Duration(d))
 	}
 	if s.Class != "" && (e.Origin["class"] == "" || s.Class.Rank() > e.Class.Rank()) {
 		e.Class, e.Origin["class"] = s.Class, path
@@ -258,15 +262,15 @@
 	}
 }
 
-func (e *Effective) narrowPlaces(path string, places []string) {
+func (e *Effective) narrowDataCentres(path string, dataCentres []string) {
 	if e.AnyPlace {
 		e.AnyPlace = false
-		e.Places = slices.Clone(places)
+		e.Places = slices.Clone(dataCentres)
 		e.Origin["places"] = path
 		return
 	}
 	kept := slices.DeleteFunc(slices.Clone(e.Places), func(p string) bool {
-		return !slices.Contains(places, p)
+		return !slices.Contains(dataCentres, p)
 	})
 	if len(kept) < len(e.Places) {
 		e.Places = kept
@@ -274,16 +278,18 @@
 	}
 }
 
-// least lowers *have to v. Zero v is inherited; zero *have is unlimited.
-func least[N int | int64 | float64 | time.Duration](e *Effective, path, field string, have *N, v N) {
-	if v <= 0 || (*have > 0 && e.Origin[field] != "" && *have <= v) {
+// lower sets *limit to v if v is lower or if *limit is not set by a node. A v of zero is
+// inherited and changes nothing; a *limit of zero is unlimited.
+func lower[N int | int64 | float64 | time.Duration](e *Effective, path, field string, limit *N, v N) {
+	if v <= 0 || (*limit > 0 && e.Origin[field] != "" && *limit <= v) {
 		return
 	}
-	*have = v
+	*limit = v
 	e.Origin[field] = path
 }
 
-// Repeatable says whether a call to a plain service may run twice.
+// Repeatable reports whether a call to a plain service may run twice. Without a rule that
+// matches, GET and HEAD are repeatable.
 func (t *Tree) Repeatable(service, method, path string) bool {
 	s := t.services[service]
 	for _, rule := range s.Calls {
@@ -294,9 +300,8 @@
 	return method == "GET" || method == "HEAD"
 }
 
-// Order returns the names of branches in the order in which they are written:
-// the root first, since the others are checked against it, then places and
-// services and models by name.
+// Order returns the names of branches in the order in which they must be written: the
+// root first, since the others are checked against it, then all others by name.
 func Order(branches map[string]*Node) []string {
 	names := sortedKeys(branches)
 	slices.SortStableFunc(names, func(a, b string) int {
--- a/state/tree/tree_test.go
+++ b/state/tree/tree_test.go
@@ -20,7 +20,7 @@
 
 func TestMain(m *testing.M) { fuzz.Main(m, 500, 30) }
 
-func places(p ...string) *[]string { return &p }
+func dataCentres(p ...string) *[]string { return &p }
 
 func load(t *testing.T, name string) *Node {
 	t.Helper()
@@ -31,7 +31,8 @@
 	return n
 }
 
-func TestSamplesAreGood(t *testing.T) {
+// The sample trees have no faults and the expected numbers of models and endpoints.
+func TestSamplesAreValid(t *testing.T) {
 	cases := []struct {
 		file              string
 		models, endpoints int
@@ -40,28 +41,29 @@
 		{"cooperative.json", 85, 15},
 		{"demo.json", 3, 4},
 	}
-	for _, one := range cases {
-		branches := Split(load(t, one.file))
-		assert.Equal(t, len(Check(branches)), 0, "%s: %v", one.file, Check(branches))
+	for _, tt := range cases {
+		branches := Split(load(t, tt.file))
+		assert.Equal(t, len(Check(branches)), 0, "%s: %v", tt.file, Check(branches))
 		tree := New(branches)
-		assert.Equal(t, len(tree.Models()), one.models, one.file)
-		assert.Equal(t, len(tree.Endpoints()), one.endpoints, one.file)
+		assert.Equal(t, len(tree.Models()), tt.models, tt.file)
+		assert.Equal(t, len(tree.Endpoints()), tt.endpoints, tt.file)
 	}
 }
 
-func TestAllFaultsAtOnce(t *testing.T) {
+// All faults of a tree are reported together, not only the first one.
+func TestAllFaultsAreReported(t *testing.T) {
 	_, err := ParseNode([]byte(`{"set":{"placs":["a"],"rate":"x","deadline":"soon"},"endpoints":{"e":{"slots":1.5}},"children":{"model/m":{"model":{"memory":"14XB"}}}}`))
 	assert.Assert(t, errors.Is(err, core.ErrInvalid))
 	golden.Assert(t, err.Error()+"\n", "shape.golden")
 	root := &Node{
-		Set:       Settings{Places: places("a", "b"), Concurrency: 5, Repeat: new(bool)},
+		Set:       Settings{Places: dataCentres("a", "b"), Concurrency: 5, Repeat: new(bool)},
 		Endpoints: map[string]Endpoint{"e": {Addr: "host:1", Place: "c", Kind: "gpu"}},
 		Children: map[string]*Node{
 			"service/s": {
 				Service: &Service{Kind: "fast"},
-				Set:     Settings{Places: places("a", "c"), Concurrency: 6, Class: "soon"},
+				Set:     Settings{Places: dataCentres("a", "c"), Concurrency: 6, Class: "soon"},
 				Children: map[string]*Node{
-					"model/m": {Set: Settings{Places: places("b")}},
+					"model/m": {Set: Settings{Places: dataCentres("b")}},
 					"place/z": {},
 				},
 			},
@@ -73,8 +75,9 @@
 	golden.Assert(t, Check(Split(root)).Error()+"\n", "check.golden")
 }
 
-// A request is served where a higher node forbids it: nodes nested in any
-// order must all count, and no child may win over its parent.
+// Guards against requests served in a data centre that a higher node forbids. All
+// matching nodes must take effect, in whatever order they are nested, and no child may
+// override its parent.
 func TestEffectiveOnlyNarrows(t *testing.T) {
 	all := []string{"a", "b", "c"}
 	rapid.Check(t, func(t *rapid.T) {
@@ -83,7 +86,7 @@
 		tree := New(branches)
 		coord := Coord{Service: "s", Model: "m", Place: rapid.SampledFrom(all).Draw(t, "place")}
 		e := tree.Effective(coord)
-		// Oracle: walk all nodes on matching paths.
+		// The expected values come from a walk over all nodes on matching paths.
 		allowed, limit := true, 0
 		var walk func(n *Node)
 		walk = func(n *Node) {
@@ -130,8 +133,8 @@
 	return n
 }
 
-// An accepted tree is wider below than above: whatever Check lets pass, the
-// fold of a child is within its parent's.
+// Guards against accepted trees whose children are wider than their parents: whenever
+// Check reports no widening, the fold of a child must be within that of its parent.
 func TestCheckedChildIsWithinParent(t *testing.T) {
 	all := []string{"a", "b", "c"}
 	rapid.Check(t, func(t *rapid.T) {
@@ -139,16 +142,16 @@
 		branches := Split(root)
 		for _, p := range Check(branches) {
 			if strings.HasPrefix(p.Text, "widens") {
-				t.Skip("refused")
+				t.Skip("the tree is refused")
 			}
 		}
 		tree := New(branches)
 		parent := tree.Effective(Coord{Service: "s"})
-		for _, place := range all {
-			child := tree.Effective(Coord{Service: "s", Model: "m", Place: place})
-			// A default is no node: a child may exceed what nobody has set.
+		for _, dataCentre := range all {
+			child := tree.Effective(Coord{Service: "s", Model: "m", Place: dataCentre})
+			// A child may exceed a default, since no node has set it.
 			assert.Assert(t, parent.Origin["concurrency"] == "" || child.Concurrency <= parent.Concurrency)
-			assert.Assert(t, !child.Allows(place) || parent.Allows(place))
+			assert.Assert(t, !child.Allows(dataCentre) || parent.Allows(dataCentre))
 		}
 	})
 }
@@ -158,21 +161,21 @@
 	return data
 }
 
-// Settings revert at one daemon: branches arrive in any order, twice, damaged
-// or deleted, from several others. The version held must be the highest seen
-// and the node in force the highest good one.
+// Guards against settings that revert at one daemon. Branches arrive from several others
+// in any order, twice, invalid or deleted. The stored version must be the highest received
+// one, and the node in force that of the highest valid one.
 func TestReplicaNeverGoesBack(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		r := NewReplica()
 		highest := map[string]uint64{}
-		good := map[string]int{}
+		valid := map[string]int{}
 		t.Repeat(map[string]func(*rapid.T){
 			"": func(t *rapid.T) {
 				nodes := r.Nodes()
 				for name, v := range r.Versions() {
 					assert.Equal(t, v, highest[name])
-					if good[name] > 0 {
-						assert.Equal(t, nodes[name].Set.Concurrency, good[name])
+					if valid[name] > 0 {
+						assert.Equal(t, nodes[name].Set.Concurrency, valid[name])
 					} else {
 						assert.Assert(t, nodes[name] == nil)
 					}
@@ -182,9 +185,9 @@
 				name := rapid.SampledFrom([]string{Root, "service/s"}).Draw(t, "branch")
 				v := rapid.IntRange(1, 40).Draw(t, "version")
 				b := Branch{Name: name, Version: uint64(v), Body: stored(v)}
-				kind := rapid.SampledFrom([]string{"good", "good", "bad", "deleted"}).Draw(t, "kind")
+				kind := rapid.SampledFrom([]string{"valid", "valid", "invalid", "deleted"}).Draw(t, "kind")
 				switch kind {
-				case "bad":
+				case "invalid":
 					b.Body = []byte(`{"node":{"sett":{}}}`)
 				case "deleted":
 					b.Deleted = true
@@ -195,17 +198,19 @@
 				}
 				highest[name] = uint64(v)
 				switch kind {
-				case "good":
-					good[name] = v
+				case "valid":
+					valid[name] = v
 				case "deleted":
-					good[name] = 0
+					valid[name] = 0
 				}
 			},
 		})
 	})
 }
 
-func TestSumTellsSettingsApart(t *testing.T) {
+// Replicas with different branches or versions have different sums; with the same ones,
+// equal sums.
+func TestSumsDifferWithSettings(t *testing.T) {
 	a, b := NewReplica(), NewReplica()
 	one := Branch{Name: Root, Version: 1, Body: stored(1)}
 	two := Branch{Name: "service/s", Version: 2, Body: stored(2)}
@@ -217,20 +222,21 @@
 	assert.Equal(t, len(a.Newer(b.Versions())), 0)
 }
 
+// A VM is leaving while its branch exists and is not deleted.
 func TestLeavingVMs(t *testing.T) {
 	r := NewReplica()
-	assert.Equal(t, len(r.Apply([]Branch{{Name: VMPrefix + "x", Version: 1, Deleted: true}})), 0, "live VMs take no room")
+	assert.Equal(t, len(r.Apply([]Branch{{Name: VMPrefix + "x", Version: 1, Deleted: true}})), 0, "VMs that are not leaving must not be stored")
 	r.Apply([]Branch{{Name: VMPrefix + "x", Version: 2}})
 	assert.Assert(t, r.Leaving("x"))
 	r.Apply([]Branch{{Name: VMPrefix + "x", Version: 3, Deleted: true}})
 	assert.Assert(t, !r.Leaving("x"))
 }
 
-// BenchmarkEffective shows that the cost of a routing decision's settings does
+// BenchmarkEffective measures the effective settings for a routing decision. The cost must
 // not grow with the number of models.
 func BenchmarkEffective(b *testing.B) {
 	for _, n := range []int{15, 150, 1800} {
-		root := &Node{Set: Settings{Places: places("a", "b")}, Children: map[string]*Node{}}
+		root := &Node{Set: Settings{Places: dataCentres("a", "b")}, Children: map[string]*Node{}}
 		for i := range n {
 			root.Children[fmt.Sprintf("model/m%d", i)] = &Node{Model: &Model{Version: "1", Memory: 1}}
 		}
@@ -249,10 +255,10 @@
 
 func TestUnits(t *testing.T) {
 	cases := []struct{ text, want string }{{"1.5s", "1.5s"}, {"0s", "0s"}}
-	for _, one := range cases {
+	for _, tt := range cases {
 		var d core.Duration
-		assert.NilError(t, d.UnmarshalText([]byte(one.text)))
-		assert.Equal(t, time.Duration(d).String(), one.want)
+		assert.NilError(t, d.UnmarshalText([]byte(tt.text)))
+		assert.Equal(t, time.Duration(d).String(), tt.want)
 	}
 	var b core.Bytes
 	assert.NilError(t, b.UnmarshalText([]byte("14GB")))
@@ -263,8 +269,8 @@
 	assert.Assert(t, d.UnmarshalText([]byte("-1s")) != nil)
 }
 
-// BenchmarkApply is the cost of taking in one edit at the size to come: 1,800
-// models and 10,000 endpoints in 19 places.
+// BenchmarkApply measures the cost of applying one edit at the expected future size: 1,800
+// models and 10,000 endpoints in 19 data centres.
 func BenchmarkApply(b *testing.B) {
 	r := NewReplica()
 	put := func(name string, version uint64, n *Node) {
@@ -276,12 +282,12 @@
 		all = append(all, fmt.Sprint("place-", i))
 	}
 	put(Root, 1, &Node{Set: Settings{Places: &all}})
-	for i, place := range all {
+	for i, dataCentre := range all {
 		n := &Node{Endpoints: map[string]Endpoint{}}
 		for k := range 526 {
-			n.Endpoints[fmt.Sprintf("e-%d-%d", i, k)] = Endpoint{Addr: "127.0.0.1:1", Place: place, Kind: KindModel, Memory: 640e9, Slots: 64}
+			n.Endpoints[fmt.Sprintf("e-%d-%d", i, k)] = Endpoint{Addr: "127.0.0.1:1", Place: dataCentre, Kind: KindModel, Memory: 640e9, Slots: 64}
 		}
-		put("place/"+place, 1, n)
+		put("place/"+dataCentre, 1, n)
 	}
 	for i := range 1800 {
 		put(fmt.Sprint("model/m", i), 1, &Node{Model: &Model{Version: "1", Memory: 10e9}})
@@ -296,11 +302,11 @@
 	}
 }
 
-// A configuration's own limits are cut by defaults of a tree in which no operator
-// has said anything, or nothing is served until somebody writes a root.
+// Guards against two faults of a tree over a configuration: the defaults of an empty tree
+// lower the limits of the configuration, or nothing is served until a root is written.
 func TestOverlayOnlyNarrows(t *testing.T) {
 	r := NewReplica(WithOverlay())
-	assert.Assert(t, r.Tree() == nil, "nothing is known yet")
+	assert.Assert(t, r.Tree() == nil, "no branch or list has arrived yet")
 	r.Adopt(nil, 3)
 	assert.Assert(t, r.Tree() != nil && r.Tree().Empty())
 	e := r.Tree().Effective(Coord{Service: "s"})
@@ -313,8 +319,8 @@
 	assert.Equal(t, r.Tree().Effective(Coord{Service: "other"}).Concurrency, 0)
 }
 
-// A branch that operators have deleted comes back, or a new one is lost, when a
-// list of the store meets branches that are newer than it.
+// Guards against a deleted branch that reappears, or a new branch that is lost, when a list
+// of the store is applied over branches that are newer than it.
 func TestListsDeleteWhatTheyLack(t *testing.T) {
 	r := NewReplica(WithOverlay())
 	r.Apply([]Branch{{Name: "service/old", Version: 4, Body: stored(4)}, {Name: "service/new", Version: 9, Body: stored(9)}})
@@ -322,12 +328,12 @@
 	nodes := r.Nodes()
 	assert.Assert(t, nodes["service/old"] == nil && nodes["service/new"] != nil && nodes["service/kept"] != nil, "%v", nodes)
 	r.Apply([]Branch{{Name: "service/old", Version: 4, Body: stored(4)}})
-	assert.Assert(t, r.Nodes()["service/old"] == nil, "an older event brings it back")
+	assert.Assert(t, r.Nodes()["service/old"] == nil, "an older event has restored a deleted branch")
 }
 
-// An edit is refused because the tree describes no service, although the
-// configuration under it does.
-func TestOfferedElsewhere(t *testing.T) {
+// Guards against edits that are refused because the tree does not describe a service
+// although the underlying configuration does.
+func TestOfferedByConfiguration(t *testing.T) {
 	branches := map[string]*Node{"service/s": {Children: map[string]*Node{"model/m": {}}}}
 	assert.Equal(t, len(Check(branches)), 2)
 	offered := WithOffered(func(kind, name string) bool { return kind+"/"+name == "service/s" || kind+"/"+name == "model/m" })
--- a/state/tree/versions.go
+++ b/state/tree/versions.go
@@ -13,14 +13,15 @@
 	"primroseward/core"
 )
 
-// VMPrefix begins the names of entries that say which VMs are leaving. They
-// travel with the settings.
+// VMPrefix is the prefix of the names of branches that say which VMs are leaving. They
+// are distributed with the settings.
 const VMPrefix = "vm:"
 
 // VMLeaving is the state of a VM that gets no new work.
 const VMLeaving = "leaving"
 
-// ObjectName is the store's name of a branch's object, which may hold no slash.
+// ObjectName returns the name of a branch's object in the store, where names must not
+// contain a slash.
 func ObjectName(branch string) string {
 	if branch == Root {
 		return "root"
@@ -28,7 +29,8 @@
 	return strings.Replace(branch, "/", ".", 1)
 }
 
-// BranchName is the reverse of ObjectName.
+// BranchName returns the name of the branch of a stored object. It is the inverse of
+// ObjectName.
 func BranchName(object string) string {
 	if object == "root" {
 		return Root
@@ -36,7 +38,7 @@
 	return strings.Replace(object, ".", "/", 1)
 }
 
-// Branch is one versioned branch as it is stored and spread.
+// Branch is one versioned branch as it is stored and sent between daemons.
 type Branch struct {
 	Name    string
 	Version uint64
@@ -44,52 +46,51 @@
 	Deleted bool
 }
 
-// BranchOf is the branch that a change of the store's objects tells of.
+// BranchOf returns the branch of a change event of the store.
 func BranchOf(e core.Event) Branch {
 	return Branch{Name: BranchName(e.Object.Name), Version: e.Object.Version, Body: e.Object.Body, Deleted: e.Deleted}
 }
 
-// held is a branch with the last body that parsed.
-type held struct {
+// branchState is a branch with the node and the log of its last valid body.
+type branchState struct {
 	branch Branch
-	node   *Node
+	node   *Node // nil for a deleted branch
 	log    []Edit
 }
 
-// Replica keeps the branches that a daemon knows and the tree built from them.
-// A branch's version never falls, whatever order messages arrive in.
+// Replica is a daemon's copy of the branches and the tree built from them. The version of
+// a branch never decreases, in whatever order messages arrive.
 type Replica struct {
 	mu       sync.Mutex
-	branches map[string]held
-	problems map[string]string
+	branches map[string]branchState
+	problems map[string]string // by branch, of stored bodies that are not in force
 	sum      atomic.Uint64
 	current  atomic.Pointer[Tree]
 	overlay  bool
 }
 
-// ReplicaOption changes a Replica.
+// ReplicaOption configures a Replica.
 type ReplicaOption func(*Replica)
 
-// WithOverlay is for a tree over a configuration that names the services,
-// their models and their limits: the tree only narrows what that one allows. It
-// is in force without a root, and brings no limits of its own where no node
-// says so.
+// WithOverlay is for a tree over a configuration that has the services, their models and
+// their limits: the tree only narrows what the configuration allows. Such a tree is in
+// force without a root, and sets no limits of its own where no node does.
 func WithOverlay() ReplicaOption { return func(s *Replica) { s.overlay = true } }
 
 // NewReplica returns an empty replica.
 func NewReplica(opts ...ReplicaOption) *Replica {
-	s := &Replica{branches: map[string]held{}, problems: map[string]string{}}
+	s := &Replica{branches: map[string]branchState{}, problems: map[string]string{}}
 	for _, o := range opts {
 		o(s)
 	}
 	return s
 }
 
-// Tree returns the tree in force; nil until the root branch is known, or until
-// anything is known of a tree over a configuration.
+// Tree returns the tree in force. It is nil until the root branch has arrived or, for a
+// tree over a configuration, until any branch or list of branches has arrived.
 func (s *Replica) Tree() *Tree { return s.current.Load() }
 
-// InForce is Tree, but nil as well where the tree says nothing.
+// InForce is like Tree, but also returns nil if the tree has no nodes.
 func (s *Replica) InForce() *Tree {
 	if t := s.Tree(); t != nil && !t.Empty() {
 		return t
@@ -97,12 +98,12 @@
 	return nil
 }
 
-// Sum returns a digest of all versions; equal sums mean equal settings.
+// Sum returns a hash of all branch names and versions. Equal sums mean equal settings.
 func (s *Replica) Sum() uint64 { return s.sum.Load() }
 
-// Apply takes in those branches that are newer than what is held and returns
-// them. A branch of wrong shape keeps the node that was in force: a fault of
-// another writer must not take down what works.
+// Apply stores the branches that are newer than the stored ones and returns them. If the
+// body of a branch is invalid, the node that was in force stays in force: an error of
+// another writer must not break settings that work.
 func (s *Replica) Apply(branches []Branch) []Branch {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -118,8 +119,9 @@
 	return taken
 }
 
-// Adopt takes in the store's whole list of branches as of a version. A branch
-// that is missing there has been deleted, unless it is newer than the list.
+// Adopt applies the store's complete list of branches as of a version and returns the
+// branches that changed. A branch that is not in the list has been deleted, unless it is
+// newer than the list.
 func (s *Replica) Adopt(branches []Branch, version uint64) []Branch {
 	s.mu.Lock()
 	listed := make(map[string]bool, len(branches))
@@ -141,15 +143,17 @@
 	return taken
 }
 
+// applyOne stores a branch if it is newer and reports whether it did. The caller holds
+// the lock.
 func (s *Replica) applyOne(b Branch) bool {
-	have, ok := s.branches[b.Name]
-	if ok && b.Version <= have.branch.Version {
+	old, ok := s.branches[b.Name]
+	if ok && b.Version <= old.branch.Version {
 		return false
 	}
 	if !ok && b.Deleted && strings.HasPrefix(b.Name, VMPrefix) {
-		return false // one of the many VMs that never left
+		return false // an event for one of the many VMs that have never been leaving; not stored
 	}
-	next := held{branch: b, node: have.node, log: have.log}
+	next := branchState{branch: b, node: old.node, log: old.log}
 	delete(s.problems, b.Name)
 	if b.Deleted || strings.HasPrefix(b.Name, VMPrefix) {
 		next.node = nil
@@ -167,6 +171,7 @@
 	return true
 }
 
+// rebuild replaces the tree in force and the sum. The caller holds the lock.
 func (s *Replica) rebuild() {
 	nodes := map[string]*Node{}
 	for name, h := range s.branches {
@@ -181,7 +186,7 @@
 	}
 }
 
-func sumOf(branches map[string]held) uint64 {
+func sumOf(branches map[string]branchState) uint64 {
 	var sum uint64
 	var buf [8]byte
 	for name, h := range branches {
@@ -207,7 +212,7 @@
 	return out
 }
 
-// Versions returns the version held of each branch.
+// Versions returns the stored version of each branch.
 func (s *Replica) Versions() map[string]uint64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -218,7 +223,7 @@
 	return out
 }
 
-// Leaving says whether the platform lists a VM as leaving.
+// Leaving reports whether the platform lists a VM as leaving.
 func (s *Replica) Leaving(vm string) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -226,7 +231,8 @@
 	return ok && !h.branch.Deleted
 }
 
-// Newer returns the branches that are newer here than in versions.
+// Newer returns the branches whose stored version is higher than in versions, sorted by
+// name.
 func (s *Replica) Newer(versions map[string]uint64) []Branch {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -247,7 +253,7 @@
 	return s.branches[branch].log
 }
 
-// Problems returns the faults of stored branches that are not in force.
+// Problems returns the errors of stored branches that are not in force, sorted by branch.
 func (s *Replica) Problems() []string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
