--- a/state/catalog/catalog.go
+++ b/state/catalog/catalog.go
@@ -179,7 +179,8 @@
 	return restarted
 }
 
-// putEarlier records a description with an earlier start time than the one in effect. The caller holds the lock.
+// putEarlier records a description with an earlier start time than the one in effect. The
+// caller holds the lock.
 func (c *Catalog) putEarlier(old *Entry, r core.Runner, now time.Time) {
 	next := *old
 	if next.earlier == nil || !next.earlier.Born.Equal(r.Born) {
--- a/state/hold/record.go
+++ b/state/hold/record.go
@@ -17,7 +17,7 @@
 // time. When a hold expires, one trial is allowed. So a request that did not cause the
 // exits, or whose model has been repaired, is served again, and one under which another
 // runner exits is held for longer. The first duration is short because the request may not
-// be the cause. The second is longer than callers keep retrying.
+// be the cause. The second is longer than callers keep sending the request again.
 var durations = []time.Duration{5 * time.Second, 10 * time.Minute, time.Hour}
 
 // Term returns how long a request is held back at a level. Levels count from 0.
--- a/state/ledger/floor.go
+++ b/state/ledger/floor.go
@@ -15,9 +15,9 @@
 	Evicting []string `json:"evicting"` // runners whose replica may be evicted at any time
 }
 
-// Evict returns the floor with a replica marked for eviction, or core.ErrLastReplica if
-// the replica must stay. pinnedReady says whether the pinned replica was recently observed
-// to be ready.
+// Evict returns the floor with a replica marked for eviction. It fails with
+// core.ErrLastReplica unless another replica is pinned and ready. pinnedReady says whether
+// the pinned replica was recently observed to be ready.
 func (f Floor) Evict(replica string, pinnedReady bool) (Floor, error) {
 	if f.Pin == "" || f.Pin == replica || !pinnedReady {
 		return f, core.ErrLastReplica
--- a/state/tree/node.go
+++ b/state/tree/node.go
@@ -16,7 +16,7 @@
 const (
 	ElemService    = "service"
 	ElemModel      = "model"
-	ElemDataCentre = "place" // data centre
+	ElemDataCentre = "place"
 )
 
 // Settings are the settings that a node sets. A nil or zero field is inherited.
--- a/state/tree/tree.go
+++ b/state/tree/tree.go
@@ -107,7 +107,7 @@
 	}
 }
 
-// last splits the last element of a path.
+// last returns the kind and name of the last element of a path; both are "" for the root.
 func (p Path) last() (kind, name string) {
 	if len(p) == 0 {
 		return "", ""
