--- a/state/answer/buffer.go
+++ b/state/answer/buffer.go
@@ -30,7 +30,7 @@
 	head    *Head
 	base    int64 // offset of data[0]
 	data    []byte
-	readEnd int64 // end of the data that any reader has read
+	readEnd int64 // offset up to which the furthest reader has read
 	done    bool
 	failure *core.RequestError
 	changed chan struct{} // closed and replaced on each change
--- a/state/tree/versions.go
+++ b/state/tree/versions.go
@@ -107,16 +107,16 @@
 func (s *Replica) Apply(branches []Branch) []Branch {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	var taken []Branch
+	var applied []Branch
 	for _, b := range branches {
 		if s.applyOne(b) {
-			taken = append(taken, b)
+			applied = append(applied, b)
 		}
 	}
-	if len(taken) > 0 {
+	if len(applied) > 0 {
 		s.rebuild()
 	}
-	return taken
+	return applied
 }
 
 // Adopt applies the store's complete list of branches as of a version and returns the
@@ -128,19 +128,19 @@
 	for _, b := range branches {
 		listed[b.Name] = true
 	}
-	for name, h := range s.branches {
-		if !listed[name] && h.branch.Version < version && !strings.HasPrefix(name, VMPrefix) {
+	for name, state := range s.branches {
+		if !listed[name] && state.branch.Version < version && !strings.HasPrefix(name, VMPrefix) {
 			branches = append(branches, Branch{Name: name, Version: version, Deleted: true})
 		}
 	}
 	s.mu.Unlock()
-	taken := s.Apply(branches)
+	applied := s.Apply(branches)
 	if s.overlay && s.Tree() == nil {
 		s.mu.Lock()
 		s.rebuild()
 		s.mu.Unlock()
 	}
-	return taken
+	return applied
 }
 
 // applyOne stores a branch if it is newer and reports whether it did. The caller holds
@@ -174,8 +174,8 @@
 // rebuild replaces the tree in force and the sum. The caller holds the lock.
 func (s *Replica) rebuild() {
 	nodes := map[string]*Node{}
-	for name, h := range s.branches {
-		nodes[name] = h.node
+	for name, state := range s.branches {
+		nodes[name] = state.node
 	}
 	s.sum.Store(sumOf(s.branches))
 	switch {
@@ -189,8 +189,8 @@
 func sumOf(branches map[string]branchState) uint64 {
 	var sum uint64
 	var buf [8]byte
-	for name, h := range branches {
-		binary.LittleEndian.PutUint64(buf[:], h.branch.Version)
+	for name, state := range branches {
+		binary.LittleEndian.PutUint64(buf[:], state.branch.Version)
 		d := xxhash.New()
 		_, _ = d.WriteString(name)
 		_, _ = d.Write(buf[:])
@@ -204,9 +204,9 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	out := map[string]*Node{}
-	for name, h := range s.branches {
-		if h.node != nil {
-			out[name] = h.node
+	for name, state := range s.branches {
+		if state.node != nil {
+			out[name] = state.node
 		}
 	}
 	return out
@@ -217,8 +217,8 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	out := make(map[string]uint64, len(s.branches))
-	for name, h := range s.branches {
-		out[name] = h.branch.Version
+	for name, state := range s.branches {
+		out[name] = state.branch.Version
 	}
 	return out
 }
@@ -227,8 +227,8 @@
 func (s *Replica) Leaving(vm string) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	h, ok := s.branches[VMPrefix+vm]
-	return ok && !h.branch.Deleted
+	state, ok := s.branches[VMPrefix+vm]
+	return ok && !state.branch.Deleted
 }
 
 // Newer returns the branches whose stored version is higher than in versions, sorted by
@@ -237,9 +237,9 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	var out []Branch
-	for name, h := range s.branches {
-		if h.branch.Version > versions[name] {
-			out = append(out, h.branch)
+	for name, state := range s.branches {
+		if state.branch.Version > versions[name] {
+			out = append(out, state.branch)
 		}
 	}
 	sort.Slice(out, func(i, j int) bool { return out[i].Name < out[j].Name })
