--- a/coordination/claim/claim.go
+++ b/coordination/claim/claim.go
@@ -18,15 +18,15 @@
 )
 
 const (
-	// life is how long a claim outlives its request: longer than any caller
+	// retention is how long a claim outlives its request: longer than any caller
 	// goes on sending the same key.
-	life         = 24 * time.Hour
-	abandonRing  = 1024
-	abandonEvery = 2 * time.Second
-	abandonTries = 60
-	sweepEvery   = 10 * time.Minute
-	sweepPause   = 50 * time.Millisecond
-	callTimeout  = 5 * time.Second
+	retention         = 24 * time.Hour
+	releaseBuffer     = 1024
+	releaseInterval   = 2 * time.Second
+	maxReleaseRetries = 60
+	sweepInterval     = 10 * time.Minute
+	sweepPause        = 50 * time.Millisecond
+	callTimeout       = 5 * time.Second
 )
 
 // Body is what a claim says.
@@ -49,19 +49,19 @@
 	members  core.Members
 	clock    core.Clock
 	log      *zap.Logger
-	abandon  chan abandoned
+	releases chan pendingRelease
 	wg       sync.WaitGroup
 	stop     context.CancelFunc
 }
 
-type abandoned struct {
-	claim Claim
-	tries int
+type pendingRelease struct {
+	claim   Claim
+	retries int
 }
 
 // New makes a Claims.
 func New(platform core.Platform, members core.Members, clock core.Clock, log *zap.Logger) *Claims {
-	return &Claims{platform: platform, members: members, clock: clock, log: log, abandon: make(chan abandoned, abandonRing)}
+	return &Claims{platform: platform, members: members, clock: clock, log: log, releases: make(chan pendingRelease, releaseBuffer)}
 }
 
 // Start begins to delete what is given back or out of date.
@@ -69,7 +69,7 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	c.stop = cancel
 	c.wg.Add(2)
-	go c.runAbandon(ctx)
+	go c.runRelease(ctx)
 	go c.runSweep(ctx)
 }
 
@@ -79,8 +79,8 @@
 	c.wg.Wait()
 }
 
-// name makes an object name of a key, which may hold any character.
-func name(key string) string {
+// objectName makes an object objectName of a key, which may hold any character.
+func objectName(key string) string {
 	sum := sha256.Sum256([]byte(key))
 	return hex.EncodeToString(sum[:16])
 }
@@ -89,7 +89,7 @@
 // body with ErrExists. ErrUnavailable means that the claim may or may not have
 // been made; nothing may be sent then, and it will be given back.
 func (c *Claims) Take(ctx context.Context, key string, fingerprint uint64) (Claim, Body, error) {
-	claim := Claim{name: name(key), token: uuid.NewString()}
+	claim := Claim{name: objectName(key), token: uuid.NewString()}
 	body := Body{Token: claim.token, Print: fingerprint, Member: c.members.Self().Name, At: c.clock.Now()}
 	data, err := json.Marshal(body)
 	if err != nil {
@@ -100,14 +100,14 @@
 	case err == nil, errors.Is(err, core.ErrOvertaken):
 		return claim, body, nil
 	case errors.Is(err, core.ErrExists):
-		return c.taken(ctx, claim)
+		return c.existing(ctx, claim)
 	default:
 		c.GiveBack(claim)
 		return claim, body, errors.Join(core.ErrUnavailable, err)
 	}
 }
 
-func (c *Claims) taken(ctx context.Context, claim Claim) (Claim, Body, error) {
+func (c *Claims) existing(ctx context.Context, claim Claim) (Claim, Body, error) {
 	body, err := c.read(ctx, claim.name)
 	if err != nil {
 		return claim, Body{}, errors.Join(core.ErrUnavailable, err)
@@ -118,7 +118,7 @@
 // Find returns what the claim of a key says, without making one; ErrNotFound if there is
 // none.
 func (c *Claims) Find(ctx context.Context, key string) (Body, error) {
-	return c.read(ctx, name(key))
+	return c.read(ctx, objectName(key))
 }
 
 // read returns what a claim says; one that can't be read says nothing.
@@ -139,44 +139,44 @@
 // stayed would block its key without need.
 func (c *Claims) GiveBack(claim Claim) {
 	select {
-	case c.abandon <- abandoned{claim: claim}:
+	case c.releases <- pendingRelease{claim: claim}:
 	default:
 		c.log.Warn("a claim is kept although its request did not run", zap.String("claim", claim.name))
 	}
 }
 
-func (c *Claims) runAbandon(ctx context.Context) {
+func (c *Claims) runRelease(ctx context.Context) {
 	defer c.wg.Done()
-	var waiting []abandoned
+	var pending []pendingRelease
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case a := <-c.abandon:
-			if !c.giveBack(ctx, a.claim) {
-				waiting = append(waiting, a)
+		case r := <-c.releases:
+			if !c.release(ctx, r.claim) {
+				pending = append(pending, r)
 			}
-		case <-c.clock.After(abandonEvery):
-			waiting = c.again(ctx, waiting)
+		case <-c.clock.After(releaseInterval):
+			pending = c.retryReleases(ctx, pending)
 		}
 	}
 }
 
-func (c *Claims) again(ctx context.Context, waiting []abandoned) []abandoned {
-	var left []abandoned
-	for _, a := range waiting {
-		a.tries++
-		if !c.giveBack(ctx, a.claim) && a.tries < abandonTries {
-			left = append(left, a)
+func (c *Claims) retryReleases(ctx context.Context, pending []pendingRelease) []pendingRelease {
+	var left []pendingRelease
+	for _, r := range pending {
+		r.retries++
+		if !c.release(ctx, r.claim) && r.retries < maxReleaseRetries {
+			left = append(left, r)
 		}
 	}
 	return left
 }
 
-// giveBack deletes the claim if it still carries the token. A claim that is
+// release deletes the claim if it still carries the token. A claim that is
 // not there may yet appear when the write that made it is late, so only a
 // deletion or another's token counts as done.
-func (c *Claims) giveBack(ctx context.Context, claim Claim) bool {
+func (c *Claims) release(ctx context.Context, claim Claim) bool {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	o, err := c.platform.Get(ctx, core.KindClaim, claim.name)
@@ -197,10 +197,10 @@
 		select {
 		case <-ctx.Done():
 			return
-		case <-c.clock.After(sweepEvery):
+		case <-c.clock.After(sweepInterval):
 		}
-		first := c.members.Rank("sweep", "", 1)
-		if len(first) == 1 && first[0].Name == c.members.Self().Name {
+		sweeper := c.members.Rank("sweep", "", 1)
+		if len(sweeper) == 1 && sweeper[0].Name == c.members.Self().Name {
 			c.sweep(ctx)
 		}
 	}
@@ -213,7 +213,7 @@
 	}
 	for _, o := range objects {
 		var body Body
-		if json.Unmarshal(o.Body, &body) != nil || c.clock.Since(body.At) < life {
+		if json.Unmarshal(o.Body, &body) != nil || c.clock.Since(body.At) < retention {
 			continue
 		}
 		_ = c.platform.Delete(ctx, o)
--- a/coordination/owner/attempt.go
+++ b/coordination/owner/attempt.go
@@ -19,15 +19,15 @@
 )
 
 const (
-	// resumes bounds how often one stream is read again on a new connection.
-	resumes = 3
+	// maxResumes bounds how often one stream is read again on a new connection.
+	maxResumes = 3
 	// cancelTimeout bounds the word to an engine that a caller has gone.
-	cancelTimeout = time.Second
-	copyBuffer    = 32 << 10
+	cancelTimeout  = time.Second
+	copyBufferSize = 32 << 10
 )
 
-// doneMark ends a stream of server-sent events in OpenAI's form.
-var doneMark = []byte("data: [DONE]")
+// doneMarker ends a stream of server-sent events in OpenAI's form.
+var doneMarker = []byte("data: [DONE]")
 
 // Request is one attempt as the entry asks for it.
 type Request struct {
@@ -52,21 +52,21 @@
 	Request
 	Buffer *answer.Buffer
 
-	endpoint core.Endpoint
-	stall    time.Duration
-	clock    core.Clock
-	ctx      context.Context
-	cancel   context.CancelFunc
-	began    time.Time           // of its slot; set before run starts
-	life     life                // of the endpoint when it was sent; set before run starts
-	answered func(h http.Header) // takes in an answer's headers; set before run starts
-	again    func()              // counts the answer as asked for once more; set before run starts
-	limited  bool                // has been let through by the endpoint's limit; held by the loop
-	readAt   time.Time           // last seen with a reader; held by the sweep
-	ended    time.Time           // held by the sweep
-	status   int                 // of the answer; held by run
-	span     trace.SpanContext
-	unwatch  func() bool // ends the watch for a deadline in the queue
+	endpoint          core.Endpoint
+	stall             time.Duration
+	clock             core.Clock
+	ctx               context.Context
+	cancel            context.CancelFunc
+	startedAt         time.Time           // of its slot; set before run starts
+	instance          instance            // of the endpoint when it was sent; set before run starts
+	onHeader          func(h http.Header) // takes in an answer's headers; set before run starts
+	onResume          func()              // counts the answer as asked for once more; set before run starts
+	tookToken         bool                // has been let through by the endpoint's limit; held by the loop
+	lastReadAt        time.Time           // last seen with a reader; held by the sweep
+	endedAt           time.Time           // held by the sweep
+	status            int                 // of the answer; held by run
+	span              trace.SpanContext
+	stopDeadlineWatch func() bool // ends the watch for a deadline in the queue
 }
 
 // refuse ends an attempt that was never sent.
@@ -79,7 +79,7 @@
 // and its runner.
 func (a *Attempt) run(guard core.Guard, done func(*Attempt)) {
 	defer done(a)
-	defer a.tell(guard)
+	defer a.reportOutcome(guard)
 	defer a.cancel()
 	ctx := trace.ContextWithRemoteSpanContext(a.ctx, a.span)
 	ctx, span := otel.Tracer("primroseward").Start(ctx, "endpoint", trace.WithAttributes(
@@ -91,18 +91,18 @@
 		return
 	}
 	a.status = ans.Status
-	a.answered(ans.Header)
+	a.onHeader(ans.Header)
 	a.Buffer.SetHead(answer.Head{Status: ans.Status, Header: ans.Header})
-	if err := a.copyAll(ctx, ans); err != nil {
-		a.Buffer.Fail(a.explain(err))
-		a.tellGone()
+	if err := a.copyAnswer(ctx, ans); err != nil {
+		a.Buffer.Fail(a.classifyCopyError(err))
+		a.cancelAtEngine()
 		return
 	}
 	a.Buffer.Finish()
 }
 
-// tell tells the guard how the attempt has ended at its endpoint.
-func (a *Attempt) tell(guard core.Guard) {
+// reportOutcome tells the guard how the attempt has ended at its endpoint.
+func (a *Attempt) reportOutcome(guard core.Guard) {
 	_, err := a.Buffer.Done()
 	switch {
 	case err == nil:
@@ -111,7 +111,7 @@
 		}
 	case err.Code == core.CodeEndpointBroken:
 		// The endpoint is sent no more than it has slots, so that it had begun.
-		guard.Broke(core.Broken{Digest: a.Digest, Runner: a.life.runner(a.Runner), Route: a.Service, Service: a.Service, Begun: true})
+		guard.Broke(core.Broken{Digest: a.Digest, Runner: a.instance.runner(a.Runner), Route: a.Service, Service: a.Service, Begun: true})
 	}
 }
 
@@ -128,28 +128,28 @@
 	}
 }
 
-// copyAll copies the answer. When the connection breaks or goes silent the
+// copyAnswer copies the answer. When the connection breaks or goes silent the
 // engine may still hold the stream, so it is read on from the same offset over
 // a new connection; the caller sees neither gap nor repetition.
-func (a *Attempt) copyAll(ctx context.Context, ans *core.Answer) error {
-	tail := &tailCheck{on: isEvents(ans.Header)}
-	err := a.copyOne(ctx, ans.Body, tail)
-	for try := 0; err != nil && try < resumes && ctx.Err() == nil && a.Model != ""; try++ {
-		a.again()
-		next, resumeErr := a.endpoint.Resume(ctx, a.call(), a.Buffer.Len())
+func (a *Attempt) copyAnswer(ctx context.Context, ans *core.Answer) error {
+	tail := &tailCheck{enabled: isEventStream(ans.Header)}
+	err := a.copyBody(ctx, ans.Body, tail)
+	for resumes := 0; err != nil && resumes < maxResumes && ctx.Err() == nil && a.Model != ""; resumes++ {
+		a.onResume()
+		resumed, resumeErr := a.endpoint.Resume(ctx, a.call(), a.Buffer.Len())
 		if resumeErr != nil {
 			return err
 		}
-		err = a.copyOne(ctx, next.Body, tail)
+		err = a.copyBody(ctx, resumed.Body, tail)
 	}
 	return err
 }
 
-var errNoDone = errors.New("the stream ended without its end marker")
+var errNoDoneMarker = errors.New("the stream ended without its end marker")
 
-func (a *Attempt) copyOne(ctx context.Context, body io.ReadCloser, tail *tailCheck) error {
+func (a *Attempt) copyBody(ctx context.Context, body io.ReadCloser, tail *tailCheck) error {
 	defer body.Close()
-	buf := make([]byte, copyBuffer)
+	buf := make([]byte, copyBufferSize)
 	for {
 		n, err := body.Read(buf)
 		if n > 0 {
@@ -159,8 +159,8 @@
 			}
 		}
 		if err == io.EOF {
-			if !tail.whole() {
-				return errNoDone
+			if !tail.complete() {
+				return errNoDoneMarker
 			}
 			return nil
 		}
@@ -170,33 +170,33 @@
 	}
 }
 
-func isEvents(h http.Header) bool {
+func isEventStream(h http.Header) bool {
 	return strings.HasPrefix(h.Get("Content-Type"), "text/event-stream")
 }
 
 // tailCheck keeps the end of a stream of events to see its end marker.
 type tailCheck struct {
-	on   bool
-	last []byte
+	enabled bool
+	tail    []byte
 }
 
-const tailLength = 64
+const tailSize = 64
 
 func (t *tailCheck) write(b []byte) {
-	if !t.on {
+	if !t.enabled {
 		return
 	}
-	t.last = append(t.last, b...)
-	if len(t.last) > tailLength {
-		t.last = append(t.last[:0], t.last[len(t.last)-tailLength:]...)
+	t.tail = append(t.tail, b...)
+	if len(t.tail) > tailSize {
+		t.tail = append(t.tail[:0], t.tail[len(t.tail)-tailSize:]...)
 	}
 }
 
-func (t *tailCheck) whole() bool {
-	return !t.on || bytes.HasSuffix(bytes.TrimRight(t.last, "\r\n"), doneMark)
+func (t *tailCheck) complete() bool {
+	return !t.enabled || bytes.HasSuffix(bytes.TrimRight(t.tail, "\r\n"), doneMarker)
 }
 
-func (a *Attempt) explain(err error) *core.RequestError {
+func (a *Attempt) classifyCopyError(err error) *core.RequestError {
 	if a.ctx.Err() != nil {
 		if !a.clock.Now().Before(a.Deadline) {
 			e := core.MayHaveRun("deadline", "the answer was not whole by the deadline")
@@ -208,8 +208,8 @@
 	return core.MayHaveRun(core.CodeEndpointBroken, err.Error())
 }
 
-// tellGone frees the engine from work that nobody waits for.
-func (a *Attempt) tellGone() {
+// cancelAtEngine frees the engine from work that nobody waits for.
+func (a *Attempt) cancelAtEngine() {
 	if a.Model == "" {
 		return
 	}
@@ -226,11 +226,11 @@
 	byID map[string]*Attempt
 }
 
-func (m *attempts) begin(a *Attempt) (*Attempt, bool) {
+func (m *attempts) register(a *Attempt) (*Attempt, bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if have, ok := m.byID[a.Attempt]; ok {
-		return have, false
+	if existing, ok := m.byID[a.Attempt]; ok {
+		return existing, false
 	}
 	m.byID[a.Attempt] = a
 	return a, true
@@ -246,38 +246,38 @@
 // sweep drops the answers of attempts that ended a while ago, forgets their
 // ids later, and cancels attempts that nobody has read for long if they may be
 // repeated.
-func (m *attempts) sweep(now time.Time, release, life, orphan time.Duration) {
+func (m *attempts) sweep(now time.Time, releaseAfter, forgetAfter, orphanAfter time.Duration) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	for id, a := range m.byID {
 		done, _ := a.Buffer.Done()
 		if !done {
-			a.orphaned(now, orphan)
+			a.cancelIfOrphaned(now, orphanAfter)
 			continue
 		}
-		if a.ended.IsZero() {
-			a.ended = now
+		if a.endedAt.IsZero() {
+			a.endedAt = now
 		}
-		age := now.Sub(a.ended)
-		if age > release && a.Buffer.Readers() == 0 {
+		age := now.Sub(a.endedAt)
+		if age > releaseAfter && a.Buffer.Readers() == 0 {
 			a.Buffer.Release()
 		}
-		if age > life {
+		if age > forgetAfter {
 			delete(m.byID, id)
 		}
 	}
 }
 
-// orphaned cancels an attempt whose entry has been away for too long.
-func (a *Attempt) orphaned(now time.Time, limit time.Duration) {
+// cancelIfOrphaned cancels an attempt whose entry has been away for too long.
+func (a *Attempt) cancelIfOrphaned(now time.Time, after time.Duration) {
 	if a.Buffer.Readers() > 0 || !a.Repeat {
-		a.readAt = now
+		a.lastReadAt = now
 		return
 	}
-	if a.readAt.IsZero() {
-		a.readAt = now
+	if a.lastReadAt.IsZero() {
+		a.lastReadAt = now
 	}
-	if now.Sub(a.readAt) > limit {
+	if now.Sub(a.lastReadAt) > after {
 		a.cancel()
 	}
 }
--- a/coordination/owner/attempt_test.go
+++ b/coordination/owner/attempt_test.go
@@ -10,28 +10,28 @@
 	"primroseward/state/answer"
 )
 
-func running(repeat bool) (*Attempt, context.Context) {
+func newRunningAttempt(repeat bool) (*Attempt, context.Context) {
 	ctx, cancel := context.WithCancel(context.Background())
-	return &Attempt{Request: Request{Attempt: "a", Repeat: repeat}, Buffer: answer.NewBuffer(), ctx: ctx, cancel: cancel, began: time.Unix(1000, 0)}, ctx
+	return &Attempt{Request: Request{Attempt: "a", Repeat: repeat}, Buffer: answer.NewBuffer(), ctx: ctx, cancel: cancel, startedAt: time.Unix(1000, 0)}, ctx
 }
 
 // The queue admits requests that cannot be served in time: the time that a
 // request holds its slot was measured from the last sweep instead of from its
 // start, because the sweep kept its own time in the same field.
-func TestSweepLeavesTheStartAlone(t *testing.T) {
-	a, _ := running(true)
+func TestSweepKeepsStartTime(t *testing.T) {
+	a, _ := newRunningAttempt(true)
 	m := attempts{byID: map[string]*Attempt{"a": a}}
 	detach := a.Buffer.Attach()
 	defer detach()
 	m.sweep(time.Unix(1060, 0), time.Minute, time.Hour, time.Second)
-	assert.Equal(t, a.began, time.Unix(1000, 0))
+	assert.Equal(t, a.startedAt, time.Unix(1000, 0))
 }
 
 // Accelerators go on for an entry that has died. An attempt that nobody has
 // read for a while is cancelled, unless it may not be repeated.
-func TestOrphansAreCancelled(t *testing.T) {
+func TestOrphanedAttemptsAreCancelled(t *testing.T) {
 	for _, repeat := range []bool{true, false} {
-		a, ctx := running(repeat)
+		a, ctx := newRunningAttempt(repeat)
 		m := attempts{byID: map[string]*Attempt{"a": a}}
 		detach := a.Buffer.Attach()
 		now := time.Unix(1000, 0)
@@ -50,8 +50,8 @@
 
 // An id is known for as long as a late dispatch may arrive; the answer goes
 // sooner.
-func TestEndedAttemptsAreForgotten(t *testing.T) {
-	a, _ := running(true)
+func TestEndedAttemptsExpire(t *testing.T) {
+	a, _ := newRunningAttempt(true)
 	m := attempts{byID: map[string]*Attempt{"a": a}}
 	assert.NilError(t, a.Buffer.Append(context.Background(), []byte("answer")))
 	a.Buffer.Finish()
@@ -59,9 +59,9 @@
 	m.sweep(now, 30*time.Second, 2*time.Minute, time.Second)
 	m.sweep(now.Add(time.Minute), 30*time.Second, 2*time.Minute, time.Second)
 	assert.Equal(t, a.Buffer.Size(), int64(0))
-	again, fresh := m.begin(&Attempt{Request: Request{Attempt: "a"}})
-	assert.Assert(t, !fresh && again == a, "a second sending joins the first")
+	joined, registered := m.register(&Attempt{Request: Request{Attempt: "a"}})
+	assert.Assert(t, !registered && joined == a, "a second sending joins the first")
 	m.sweep(now.Add(3*time.Minute), 30*time.Second, 2*time.Minute, time.Second)
-	_, known := m.get("a")
-	assert.Assert(t, !known)
+	_, found := m.get("a")
+	assert.Assert(t, !found)
 }
--- a/coordination/owner/life.go
+++ b/coordination/owner/life.go
@@ -9,44 +9,44 @@
 	"primroseward/core"
 )
 
-// life is one life of an endpoint's process, as its owner tells it from others.
-type life struct {
-	begun time.Time // when the owner first knew of it
-	boot  string    // as the endpoint tells it; empty: not told yet
+// instance is one instance of an endpoint's process, as its owner tells it from others.
+type instance struct {
+	startedAt time.Time // when the owner first knew of it
+	bootID    string    // as the endpoint tells it; empty: not told yet
 }
 
 // runner names an endpoint's life where runners are spoken of.
-func (l life) runner(id string) core.Runner { return core.Runner{ID: id, Born: l.begun} }
+func (l instance) runner(id string) core.Runner { return core.Runner{ID: id, Born: l.startedAt} }
 
-// lives keeps which life of an endpoint is the current one.
-type lives struct {
-	clock core.Clock
-	mu    sync.Mutex
-	is    life
+// instanceTracker keeps which life of an endpoint is the current one.
+type instanceTracker struct {
+	clock  core.Clock
+	mu     sync.Mutex
+	latest instance
 }
 
-func (l *lives) now() life {
+func (l *instanceTracker) current() instance {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.is
+	return l.latest
 }
 
-// ended takes in that nothing listens at the endpoint. One that is asked several times
-// while it is away has still ended once.
-func (l *lives) ended() {
+// exited takes in that nothing listens at the endpoint. One that is asked several times
+// while it is away has still exited once.
+func (l *instanceTracker) exited() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.is = life{begun: l.clock.Now()}
+	l.latest = instance{startedAt: l.clock.Now()}
 }
 
-// told takes in the boot that the endpoint tells of itself.
-func (l *lives) told(boot string) {
+// booted takes in the boot that the endpoint tells of itself.
+func (l *instanceTracker) booted(bootID string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.is.boot != "" && l.is.boot != boot {
-		l.is.begun = l.clock.Now()
+	if l.latest.bootID != "" && l.latest.bootID != bootID {
+		l.latest.startedAt = l.clock.Now()
 	}
-	l.is.boot = boot
+	l.latest.bootID = bootID
 }
 
 // observe asks the endpoint what it holds, and learns from the answer whether it has
@@ -55,9 +55,9 @@
 	obs, err := r.endpoint.Observe(ctx)
 	switch {
 	case errors.Is(err, core.ErrNoListener):
-		r.alive.ended()
+		r.instances.exited()
 	case err == nil:
-		r.alive.told(obs.Boot)
+		r.instances.booted(obs.Boot)
 	}
 	return obs, err
 }
@@ -70,11 +70,11 @@
 	if r == nil {
 		return nil, core.ErrNotFound
 	}
-	if is := r.alive.now(); !is.begun.Equal(of.Born) {
+	if current := r.instances.current(); !current.startedAt.Equal(of.Born) {
 		return nil, core.ErrReplaced
 	}
 	if _, err := r.observe(ctx); err != nil && !errors.Is(err, core.ErrNotFound) {
 		return nil, err
 	}
-	return &core.Report{Born: r.alive.now().begun}, nil
+	return &core.Report{Born: r.instances.current().startedAt}, nil
 }
--- a/coordination/owner/manager.go
+++ b/coordination/owner/manager.go
@@ -21,13 +21,13 @@
 )
 
 const (
-	assignEvery  = 250 * time.Millisecond
-	observeEvery = 500 * time.Millisecond
-	reportEvery  = 500 * time.Millisecond
-	repeatEvery  = time.Second // of a report in which nothing is new
-	sweepEvery   = time.Second
-	answerLife   = 30 * time.Second // of an ended attempt's answer
-	orphanLife   = 15 * time.Second // of an attempt that nobody reads
+	assignInterval          = 250 * time.Millisecond
+	observeInterval         = 500 * time.Millisecond
+	reportInterval          = 500 * time.Millisecond
+	unchangedReportInterval = time.Second // of a report in which nothing is new
+	sweepInterval           = time.Second
+	answerRetention         = 30 * time.Second // of an ended attempt's answer
+	orphanTimeout           = 15 * time.Second // of an attempt that nobody reads
 )
 
 // AttemptLife is how long an attempt's id stays known after its end.
@@ -44,29 +44,29 @@
 
 // Manager is the owner role of a daemon.
 type Manager struct {
-	replica  *tree.Replica
-	members  core.Members
-	platform core.Platform
-	connect  Connect
-	send     Sender
-	find     Finder
-	fresh    func() time.Duration
-	guard    core.Guard
-	clock    core.Clock
-	log      *zap.Logger
-	scope    tally.Scope
+	replica     *tree.Replica
+	members     core.Members
+	platform    core.Platform
+	connect     Connect
+	send        Sender
+	find        Finder
+	settingsAge func() time.Duration
+	guard       core.Guard
+	clock       core.Clock
+	log         *zap.Logger
+	scope       tally.Scope
 
 	attempts attempts
 	floors   floors
-	store    weights
+	weights  weightStore
 	limits   *allowance.Limits
 
 	mu      sync.Mutex
 	runners map[string]*runner
 	closing map[*runner]struct{}
 	// What the latest assignment was made from; it holds until one changes.
-	assignedTree *tree.Tree
-	assignedAt   uint64
+	assignedTree       *tree.Tree
+	assignedGeneration uint64
 
 	wg   sync.WaitGroup
 	stop context.CancelFunc
@@ -83,7 +83,7 @@
 
 // WithFresh sets how old the confirmation of the settings is; negative: never
 // confirmed.
-func WithFresh(fn func() time.Duration) Option { return func(m *Manager) { m.fresh = fn } }
+func WithFresh(fn func() time.Duration) Option { return func(m *Manager) { m.settingsAge = fn } }
 
 // WithGuard tells a guard how attempts end at their endpoints.
 func WithGuard(g core.Guard) Option { return func(m *Manager) { m.guard = g } }
@@ -96,20 +96,20 @@
 // New makes a Manager.
 func New(replica *tree.Replica, members core.Members, platform core.Platform, connect Connect, clock core.Clock, opts ...Option) *Manager {
 	m := &Manager{
-		replica:  replica,
-		members:  members,
-		platform: platform,
-		connect:  connect,
-		send:     func(context.Context, core.Member, []directory.Report) error { return nil },
-		find:     func(context.Context, string) []directory.Report { return nil },
-		fresh:    func() time.Duration { return 0 },
-		guard:    core.NoGuard{},
-		clock:    clock,
-		log:      zap.NewNop(),
-		scope:    tally.NoopScope,
-		attempts: attempts{byID: map[string]*Attempt{}},
-		runners:  map[string]*runner{},
-		closing:  map[*runner]struct{}{},
+		replica:     replica,
+		members:     members,
+		platform:    platform,
+		connect:     connect,
+		send:        func(context.Context, core.Member, []directory.Report) error { return nil },
+		find:        func(context.Context, string) []directory.Report { return nil },
+		settingsAge: func() time.Duration { return 0 },
+		guard:       core.NoGuard{},
+		clock:       clock,
+		log:         zap.NewNop(),
+		scope:       tally.NoopScope,
+		attempts:    attempts{byID: map[string]*Attempt{}},
+		runners:     map[string]*runner{},
+		closing:     map[*runner]struct{}{},
 	}
 	for _, o := range opts {
 		o(m)
@@ -117,7 +117,7 @@
 	m.limits = allowance.NewLimits(clock, m.log, allowance.WithLimitsScope(m.scope))
 	m.limits.Heard(1, 1, nil) // nobody but the owner sends to a runner
 	m.floors = floors{platform: platform, log: m.log, ready: m.readyRunners}
-	m.store = weights{platform: platform, clock: clock, log: m.log}
+	m.weights = weightStore{platform: platform, clock: clock, log: m.log}
 	return m
 }
 
@@ -136,7 +136,7 @@
 	m.stop()
 	m.mu.Lock()
 	for id := range m.runners {
-		m.letGo(id)
+		m.closeInBackground(id)
 	}
 	m.mu.Unlock()
 	m.wg.Wait()
@@ -173,7 +173,7 @@
 		select {
 		case <-ctx.Done():
 			return
-		case <-m.clock.After(assignEvery):
+		case <-m.clock.After(assignInterval):
 		}
 	}
 }
@@ -188,14 +188,14 @@
 	defer m.mu.Unlock()
 	endpoints := t.Endpoints()
 	generation := m.members.Generation()
-	if t == m.assignedTree && generation == m.assignedAt {
+	if t == m.assignedTree && generation == m.assignedGeneration {
 		return
 	}
-	m.assignedTree, m.assignedAt = t, generation
+	m.assignedTree, m.assignedGeneration = t, generation
 	for id, r := range m.runners {
 		spec, listed := endpoints[id]
 		if !listed || spec.Addr != r.addr || !m.owns(self, id, spec) {
-			m.letGo(id)
+			m.closeInBackground(id)
 		}
 	}
 	for id, spec := range endpoints {
@@ -210,16 +210,16 @@
 	return ok && owner.Name == self
 }
 
-// letGo ends a runner in the background; m.mu is held.
-func (m *Manager) letGo(id string) {
+// closeInBackground ends a runner in the background; m.mu is held.
+func (m *Manager) closeInBackground(id string) {
 	r := m.runners[id]
 	delete(m.runners, id)
 	m.closing[r] = struct{}{}
 	m.wg.Add(1)
-	go m.runClose(r)
+	go m.closeRunner(r)
 }
 
-func (m *Manager) runClose(r *runner) {
+func (m *Manager) closeRunner(r *runner) {
 	defer m.wg.Done()
 	r.close()
 	m.limits.Forget(r.id)
@@ -235,8 +235,8 @@
 		select {
 		case <-ctx.Done():
 			return
-		case <-m.clock.After(sweepEvery):
-			m.attempts.sweep(m.clock.Now(), answerLife, AttemptLife, orphanLife)
+		case <-m.clock.After(sweepInterval):
+			m.attempts.sweep(m.clock.Now(), answerRetention, AttemptLife, orphanTimeout)
 		}
 	}
 }
@@ -247,7 +247,7 @@
 	return m.runners[id]
 }
 
-func (m *Manager) list() []*runner {
+func (m *Manager) ownedRunners() []*runner {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	out := make([]*runner, 0, len(m.runners))
@@ -259,12 +259,12 @@
 
 // Dispatch begins an attempt, or joins it if its id is known.
 func (m *Manager) Dispatch(ctx context.Context, req Request) *Attempt {
-	own, cancel := context.WithDeadline(context.Background(), req.Deadline)
-	a, fresh := m.attempts.begin(&Attempt{
+	attemptCtx, cancel := context.WithDeadline(context.Background(), req.Deadline)
+	a, fresh := m.attempts.register(&Attempt{
 		Request: req,
 		Buffer:  answer.NewBuffer(),
 		clock:   m.clock,
-		ctx:     own,
+		ctx:     attemptCtx,
 		cancel:  cancel,
 		span:    trace.SpanContextFromContext(ctx),
 	})
@@ -274,11 +274,11 @@
 	}
 	r := m.runner(req.Runner)
 	if r == nil {
-		a.refuse(core.NotRun(http.StatusServiceUnavailable, "not_owner", "this daemon does not own the runner", minRetry))
+		a.refuse(core.NotRun(http.StatusServiceUnavailable, "not_owner", "this daemon does not own the runner", minRetryAfter))
 		return a
 	}
-	if !r.post(enqueue{a}) {
-		a.refuse(core.NotRun(http.StatusServiceUnavailable, core.CodeOverloaded, "too many requests arrive at once", minRetry))
+	if !r.trySend(enqueue{a}) {
+		a.refuse(core.NotRun(http.StatusServiceUnavailable, core.CodeOverloaded, "too many requests arrive at once", minRetryAfter))
 	}
 	return a
 }
@@ -296,9 +296,9 @@
 // the attempt then provably never runs.
 func (m *Manager) Cancel(id string) bool {
 	ctx, cancel := context.WithCancel(context.Background())
-	bar := &Attempt{Request: Request{Attempt: id}, Buffer: answer.NewBuffer(), clock: m.clock, ctx: ctx, cancel: cancel}
-	a, barred := m.attempts.begin(bar)
-	if barred {
+	placeholder := &Attempt{Request: Request{Attempt: id}, Buffer: answer.NewBuffer(), clock: m.clock, ctx: ctx, cancel: cancel}
+	a, registered := m.attempts.register(placeholder)
+	if registered {
 		a.refuse(core.NotRun(http.StatusServiceUnavailable, "cancelled", "the attempt was cancelled before it arrived", 0))
 		return true
 	}
@@ -322,7 +322,7 @@
 // Queued returns how many attempts wait.
 func (m *Manager) Queued() int {
 	n := 0
-	for _, r := range m.list() {
+	for _, r := range m.ownedRunners() {
 		r.mu.Lock()
 		n += r.report.Queued
 		r.mu.Unlock()
@@ -344,9 +344,9 @@
 // Views returns the runners owned here.
 func (m *Manager) Views() []View {
 	var out []View
-	for _, r := range m.list() {
+	for _, r := range m.ownedRunners() {
 		r.mu.Lock()
-		v := View{Runner: r.id, Report: r.report, Missing: r.missing, Cost: r.meanCost}
+		v := View{Runner: r.id, Report: r.report, Missing: r.unreachable, Cost: r.meanCost}
 		r.mu.Unlock()
 		if r.ledger != nil {
 			v.Record, v.Known = r.ledger.snapshot()
@@ -379,17 +379,17 @@
 		select {
 		case <-ctx.Done():
 			return
-		case <-m.clock.After(reportEvery):
-			m.reportAll(ctx)
+		case <-m.clock.After(reportInterval):
+			m.sendReports(ctx)
 		}
 	}
 }
 
-func (m *Manager) reportAll(ctx context.Context) {
+func (m *Manager) sendReports(ctx context.Context) {
 	batches := map[string][]directory.Report{}
 	to := map[string]core.Member{}
-	for _, r := range m.list() {
-		rep, due := r.takeReport()
+	for _, r := range m.ownedRunners() {
+		rep, due := r.reportIfDue()
 		if !due {
 			continue
 		}
@@ -411,12 +411,12 @@
 	wg.Wait()
 }
 
-// keepers is how many daemons keep each entry of the directory.
-const keepers = 2
+// keepersPerKey is how many daemons keep each entry of the directory.
+const keepersPerKey = 2
 
 // KeepersOf returns the daemons that keep a key's entry.
 func KeepersOf(members core.Members, key string) []core.Member {
-	return members.Rank("dir/"+key, "", keepers)
+	return members.Rank("dir/"+key, "", keepersPerKey)
 }
 
 // Keepers returns the daemons that keep any of the keys, each once.
--- a/coordination/owner/orders.go
+++ b/coordination/owner/orders.go
@@ -17,12 +17,12 @@
 )
 
 const (
-	proposalRing = 16
-	resendEvery  = time.Second
-	// lifetime is the longest time that an order to an endpoint which ignores
+	proposalBuffer = 16
+	resendInterval = time.Second
+	// orderLifetime is the longest time that an order to an endpoint which ignores
 	// fencing numbers is assumed to be under way. docs/GUARANTEES.md says what
 	// rests on it.
-	lifetime = 30 * time.Second
+	orderLifetime = 30 * time.Second
 )
 
 // Proposal asks for a change of what a runner holds.
@@ -38,26 +38,26 @@
 	reply chan error
 }
 
-type seen struct {
-	obs   core.Observation
-	asked time.Time
+type timedObservation struct {
+	obs         core.Observation
+	requestedAt time.Time
 }
 
 // ledgerKeeper holds one runner's memory record: it alone writes it for this
 // daemon and sends the orders that it authorises.
 type ledgerKeeper struct {
-	r     *runner
-	obs   chan seen
-	asks  chan proposal
-	log   *zap.Logger
-	clock core.Clock
+	r            *runner
+	observations chan timedObservation
+	proposals    chan proposal
+	log          *zap.Logger
+	clock        core.Clock
 
 	// Held by run.
-	object core.Object // of the record as last read or written
-	loaded bool
-	readAt time.Time
-	sent   map[string]time.Time // by model@version
-	loads  map[string]life      // of the endpoint when a load was last sent, the same
+	object        core.Object // of the record as last read or written
+	recordValid   bool
+	recordReadAt  time.Time
+	sentAt        map[string]time.Time // by model@version
+	loadInstances map[string]instance  // of the endpoint when a load was last sent, the same
 
 	mu     sync.Mutex // guards record
 	record ledger.Record
@@ -65,48 +65,48 @@
 
 func newLedgerKeeper(r *runner) *ledgerKeeper {
 	return &ledgerKeeper{
-		r:     r,
-		obs:   make(chan seen, 1),
-		asks:  make(chan proposal, proposalRing),
-		log:   r.mgr.log.With(zap.String("runner", r.id)),
-		clock: r.mgr.clock,
-		sent:  map[string]time.Time{},
-		loads: map[string]life{},
+		r:             r,
+		observations:  make(chan timedObservation, 1),
+		proposals:     make(chan proposal, proposalBuffer),
+		log:           r.mgr.log.With(zap.String("runner", r.id)),
+		clock:         r.mgr.clock,
+		sentAt:        map[string]time.Time{},
+		loadInstances: map[string]instance{},
 	}
 }
 
-// observe hands over the newest observation; an older one still waiting is
+// offerObservation hands over the newest observation; an older one still waiting is
 // replaced.
-func (k *ledgerKeeper) observe(o core.Observation, asked time.Time) {
+func (k *ledgerKeeper) offerObservation(o core.Observation, requestedAt time.Time) {
 	select {
-	case <-k.obs:
+	case <-k.observations:
 	default:
 	}
 	select {
-	case k.obs <- seen{o, asked}:
+	case k.observations <- timedObservation{o, requestedAt}:
 	default:
 	}
 }
 
 // propose asks for a change and waits for the decision.
 func (k *ledgerKeeper) propose(ctx context.Context, p Proposal) error {
-	ask := proposal{Proposal: p, reply: make(chan error, 1)}
+	pending := proposal{Proposal: p, reply: make(chan error, 1)}
 	select {
-	case k.asks <- ask:
+	case k.proposals <- pending:
 	default:
 		return eris.Wrap(core.ErrUnavailable, "too many proposals wait")
 	}
 	select {
-	case err := <-ask.reply:
+	case err := <-pending.reply:
 		return err
 	case <-ctx.Done():
 		return ctx.Err()
 	}
 }
 
-// blocks says whether a model gets no new work because its only version here
+// evictingOnlyVersion says whether a model gets no new work because its only version here
 // is about to be evicted.
-func (k *ledgerKeeper) blocks(model string) bool {
+func (k *ledgerKeeper) evictingOnlyVersion(model string) bool {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	leaving := slices.ContainsFunc(k.record.Entries, func(e ledger.Entry) bool {
@@ -119,7 +119,7 @@
 func (k *ledgerKeeper) snapshot() (ledger.Record, bool) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	return k.record, !k.readAt.IsZero()
+	return k.record, !k.recordReadAt.IsZero()
 }
 
 func (k *ledgerKeeper) run(ctx context.Context) {
@@ -128,9 +128,9 @@
 		select {
 		case <-ctx.Done():
 			return
-		case s := <-k.obs:
-			k.step(ctx, s)
-		case p := <-k.asks:
+		case s := <-k.observations:
+			k.processObservation(ctx, s)
+		case p := <-k.proposals:
 			p.reply <- k.decide(ctx, p.Proposal)
 		}
 	}
@@ -144,22 +144,22 @@
 
 func (k *ledgerKeeper) rules() ledger.Rules {
 	spec, _ := k.r.mgr.spec(k.r.id)
-	return ledger.Rules{Fenced: spec.Fenced, Lifetime: lifetime}
+	return ledger.Rules{Fenced: spec.Fenced, Lifetime: orderLifetime}
 }
 
-// step settles the record by an observation and sends what is pending.
-func (k *ledgerKeeper) step(ctx context.Context, s seen) {
-	k.tellEnds()
-	if !k.load(ctx) || s.asked.Before(k.readAt) {
+// processObservation settles the record by an observation and sends what is pending.
+func (k *ledgerKeeper) processObservation(ctx context.Context, s timedObservation) {
+	k.reportExits()
+	if !k.loadRecord(ctx) || s.requestedAt.Before(k.recordReadAt) {
 		return
 	}
 	rules := k.rules()
 	now := k.clock.Now()
 	before := k.record
 	next, settled := before.Settle(s.obs, rules, k.object.Version, now)
-	next, again := next.Authorise(s.obs, rules, now)
-	if settled || again {
-		if err := k.write(ctx, next); err != nil {
+	next, reauthorised := next.Authorise(s.obs, rules, now)
+	if settled || reauthorised {
+		if err := k.writeRecord(ctx, next); err != nil {
 			return
 		}
 		k.afterSettle(ctx, before)
@@ -167,9 +167,9 @@
 	k.sendPending(ctx, s.obs, rules)
 }
 
-// load reads the record and makes this daemon its owner.
-func (k *ledgerKeeper) load(ctx context.Context) bool {
-	if k.loaded {
+// loadRecord reads the record and makes this daemon its owner.
+func (k *ledgerKeeper) loadRecord(ctx context.Context) bool {
+	if k.recordValid {
 		return true
 	}
 	o, err := k.r.mgr.platform.Get(ctx, core.KindRunner, k.r.id)
@@ -188,10 +188,10 @@
 	k.setRecord(rec, o)
 	self := k.r.mgr.members.Self().Name
 	if o.Version > 0 && rec.Owner == self {
-		k.loaded = true
+		k.recordValid = true
 		return true
 	}
-	return k.writeFrom(ctx, o, rec.TakeOver(self)) == nil
+	return k.writeRecordOver(ctx, o, rec.TakeOver(self)) == nil
 }
 
 func (k *ledgerKeeper) setRecord(rec ledger.Record, o core.Object) {
@@ -199,23 +199,23 @@
 	defer k.mu.Unlock()
 	k.record = rec
 	k.object = o
-	k.readAt = k.clock.Now()
+	k.recordReadAt = k.clock.Now()
 }
 
-// write replaces the record by a conditional update. Any failure makes the
-// next step read it again: another owner wrote it, or this write may yet take
+// writeRecord replaces the record by a conditional update. Any failure makes the
+// next step read it again: another owner wrote it, or this writeRecord may yet take
 // effect unseen.
-func (k *ledgerKeeper) write(ctx context.Context, next ledger.Record) error {
-	return k.writeFrom(ctx, k.object, next)
+func (k *ledgerKeeper) writeRecord(ctx context.Context, next ledger.Record) error {
+	return k.writeRecordOver(ctx, k.object, next)
 }
 
-func (k *ledgerKeeper) writeFrom(ctx context.Context, o core.Object, next ledger.Record) error {
+func (k *ledgerKeeper) writeRecordOver(ctx context.Context, o core.Object, next ledger.Record) error {
 	body, err := json.Marshal(next)
 	if err != nil {
 		return eris.Wrap(core.ErrInvalid, err.Error())
 	}
 	o.Body = body
-	k.loaded = false
+	k.recordValid = false
 	if o.Version == 0 {
 		o, err = k.r.mgr.platform.Create(ctx, o)
 	} else {
@@ -225,7 +225,7 @@
 		return err
 	}
 	k.setRecord(next, o)
-	k.loaded = true
+	k.recordValid = true
 	return nil
 }
 
@@ -235,19 +235,19 @@
 	for _, e := range before.Entries {
 		i := k.record.Find(e.Model, e.Version)
 		if e.State == ledger.Loading && (i < 0 || k.record.Entries[i].State == ledger.Ready) {
-			k.r.mgr.store.release(ctx, k.loadID(e.Model, e.Version))
-			delete(k.loads, orderKey(e.Model, e.Version))
+			k.r.mgr.weights.release(ctx, k.loadID(e.Model, e.Version))
+			delete(k.loadInstances, orderKey(e.Model, e.Version))
 		}
 		if e.State == ledger.Loading && i >= 0 && k.record.Entries[i].State == ledger.Ready {
 			k.r.mgr.guard.Worked(k.loadDigest(e.Model))
 		}
 		if i < 0 && !k.record.HasReady(e.Model) {
-			k.r.mgr.floors.done(ctx, e.Model, k.r.id)
+			k.r.mgr.floors.endEviction(ctx, e.Model, k.r.id)
 		}
 	}
 	for _, e := range k.record.Entries {
 		if e.State == ledger.Ready && !before.HasReady(e.Model) {
-			k.r.mgr.floors.ensure(ctx, e.Model, k.r.id)
+			k.r.mgr.floors.ensurePin(ctx, e.Model, k.r.id)
 		}
 	}
 }
@@ -264,16 +264,16 @@
 func (k *ledgerKeeper) sendPending(ctx context.Context, obs core.Observation, rules ledger.Rules) {
 	for _, e := range k.record.Entries {
 		key := orderKey(e.Model, e.Version)
-		if !e.Pending(obs, rules) || k.clock.Since(k.sent[key]) < resendEvery {
+		if !e.Pending(obs, rules) || k.clock.Since(k.sentAt[key]) < resendInterval {
 			continue
 		}
 		if e.State == ledger.Evicting && !k.isIdle(ctx, e.Model) {
 			continue
 		}
-		if e.State == ledger.Loading && k.loadHeld(e.Model) > 0 {
+		if e.State == ledger.Loading && k.loadHoldLeft(e.Model) > 0 {
 			continue
 		}
-		k.sent[key] = k.clock.Now()
+		k.sentAt[key] = k.clock.Now()
 		k.send(ctx, e)
 	}
 }
@@ -286,16 +286,16 @@
 		return
 	}
 	if e.State == ledger.Loading {
-		k.loads[orderKey(e.Model, e.Version)] = k.r.alive.now()
+		k.loadInstances[orderKey(e.Model, e.Version)] = k.r.instances.current()
 	}
 	err := k.r.endpoint.Order(ctx, e.Order(k.object.Version))
 	k.r.mgr.count("orders")
 	switch {
 	case errors.Is(err, core.ErrStaleFence):
-		k.loaded = false
+		k.recordValid = false
 	case err != nil:
 		if e.State == ledger.Loading && !errors.Is(err, core.ErrNoListener) {
-			k.tellEnd(e) // asked at once: it may be back under the same boot before it is observed
+			k.reportExit(e) // asked at once: it may be back under the same boot before it is observed
 		}
 		k.log.Info("order is unanswered", zap.String("model", e.Model), zap.String("state", string(e.State)), zap.Error(err))
 	}
@@ -303,7 +303,7 @@
 
 func (k *ledgerKeeper) isIdle(ctx context.Context, model string) bool {
 	reply := make(chan int, 1)
-	k.r.must(idle{model, reply})
+	k.r.send(countModel{model, reply})
 	select {
 	case n := <-reply:
 		return n == 0
@@ -317,33 +317,33 @@
 	return core.LoadDigest(k.r.mgr.replica.Tree().ServiceOf(model), model)
 }
 
-// loadHeld is how long a model is not to be loaded, as endpoints that were ordered to
+// loadHoldLeft is how long a model is not to be loaded, as endpoints that were ordered to
 // have ended.
-func (k *ledgerKeeper) loadHeld(model string) time.Duration {
+func (k *ledgerKeeper) loadHoldLeft(model string) time.Duration {
 	return k.r.mgr.guard.Held(k.loadDigest(model))
 }
 
-// tellEnds tells the guard of loads whose endpoint has ended since they were sent.
-func (k *ledgerKeeper) tellEnds() {
+// reportExits tells the guard of loads whose endpoint has ended since they were sent.
+func (k *ledgerKeeper) reportExits() {
 	for _, e := range k.record.Entries {
-		if was, ok := k.loads[orderKey(e.Model, e.Version)]; ok && !was.begun.Equal(k.r.alive.now().begun) {
-			k.tellEnd(e)
+		if sentTo, ok := k.loadInstances[orderKey(e.Model, e.Version)]; ok && !sentTo.startedAt.Equal(k.r.instances.current().startedAt) {
+			k.reportExit(e)
 		}
 	}
 }
 
-// tellEnd tells the guard that the endpoint may have ended under a load, once for each
+// reportExit tells the guard that the endpoint may have ended under a load, once for each
 // time that it was sent.
-func (k *ledgerKeeper) tellEnd(e ledger.Entry) {
+func (k *ledgerKeeper) reportExit(e ledger.Entry) {
 	key := orderKey(e.Model, e.Version)
-	was := k.loads[key]
-	delete(k.loads, key)
-	k.r.mgr.guard.Broke(core.BrokenLoad(k.r.mgr.replica.Tree().ServiceOf(e.Model), e.Model, was.runner(k.r.id)))
+	sentTo := k.loadInstances[key]
+	delete(k.loadInstances, key)
+	k.r.mgr.guard.Broke(core.BrokenLoad(k.r.mgr.replica.Tree().ServiceOf(e.Model), e.Model, sentTo.runner(k.r.id)))
 }
 
 // decide carries out a proposal as far as the record; the order follows.
 func (k *ledgerKeeper) decide(ctx context.Context, p Proposal) error {
-	if !k.load(ctx) {
+	if !k.loadRecord(ctx) {
 		return eris.Wrap(core.ErrUnavailable, "the memory record cannot be read")
 	}
 	if p.Kind == core.OrderLoad {
@@ -365,7 +365,7 @@
 	if m.Base != "" && !k.record.HasReady(m.Base) {
 		return eris.Wrap(core.ErrInvalid, "the adapter's base is not ready here")
 	}
-	if left := k.loadHeld(p.Model); left > 0 {
+	if left := k.loadHoldLeft(p.Model); left > 0 {
 		return eris.Wrapf(core.ErrUnavailable, "endpoints have ended under loads of the model; held back for %v", left)
 	}
 	capacity, _ := k.capacity()
@@ -375,14 +375,14 @@
 		return err
 	}
 	id := k.loadID(p.Model, p.Version)
-	if err := k.r.mgr.store.take(ctx, id, t.Store(), time.Duration(m.Load)); err != nil {
+	if err := k.r.mgr.weights.reserve(ctx, id, t.Store(), time.Duration(m.Load)); err != nil {
 		return err
 	}
-	if err := k.write(ctx, next); err != nil {
-		k.r.mgr.store.release(ctx, id)
+	if err := k.writeRecord(ctx, next); err != nil {
+		k.r.mgr.weights.release(ctx, id)
 		return err
 	}
-	k.sendOne(ctx, p)
+	k.sendNewLoad(ctx, p)
 	return nil
 }
 
@@ -400,23 +400,23 @@
 	_, served := t.Model(p.Model)
 	last := served && k.record.HasReady(p.Model) && !next.HasReady(p.Model)
 	if last {
-		if err := k.r.mgr.floors.evict(ctx, p.Model, k.r.id); err != nil {
+		if err := k.r.mgr.floors.beginEviction(ctx, p.Model, k.r.id); err != nil {
 			return err
 		}
 	}
-	if err := k.write(ctx, next); err != nil {
+	if err := k.writeRecord(ctx, next); err != nil {
 		if last && !errors.Is(err, core.ErrUnavailable) {
-			k.r.mgr.floors.done(ctx, p.Model, k.r.id)
+			k.r.mgr.floors.endEviction(ctx, p.Model, k.r.id)
 		}
 		return err
 	}
 	return nil
 }
 
-// sendOne sends a new load's order without waiting for the next observation.
-func (k *ledgerKeeper) sendOne(ctx context.Context, p Proposal) {
+// sendNewLoad sends a new load's order without waiting for the next observation.
+func (k *ledgerKeeper) sendNewLoad(ctx context.Context, p Proposal) {
 	if i := k.record.Find(p.Model, p.Version); i >= 0 {
-		k.sent[orderKey(p.Model, p.Version)] = k.clock.Now()
+		k.sentAt[orderKey(p.Model, p.Version)] = k.clock.Now()
 		k.send(ctx, k.record.Entries[i])
 	}
 }
--- a/coordination/owner/runner.go
+++ b/coordination/owner/runner.go
@@ -17,12 +17,12 @@
 )
 
 const (
-	inboxRing    = 1024
-	tickEvery    = 250 * time.Millisecond
-	firstCost    = 500 * time.Millisecond // of a request, until one has ended
-	costWeight   = 0.2                    // of the newest request in the mean
-	missesToLose = 3                      // observations in a row
-	minRetry     = time.Second
+	inboxSize        = 1024
+	tickInterval     = 250 * time.Millisecond
+	initialCost      = 500 * time.Millisecond // of a request, until one has ended
+	costWeight       = 0.2                    // of the newest request in the mean
+	unreachableAfter = 3                      // observations in a row
+	minRetryAfter    = time.Second
 )
 
 // event is a message to a runner's loop.
@@ -43,26 +43,26 @@
 	wg       sync.WaitGroup
 
 	// Held by the loop.
-	spec     tree.Endpoint
-	queue    *queue.Queue
-	running  map[string]*Attempt
-	perModel map[string]int
-	cost     time.Duration
-	ready    map[string]bool // models observed ready
-	leaving  bool            // the endpoint says so itself
-	misses   int
-	seen     bool      // observed at least once
-	begun    time.Time // of the endpoint's life that was observed last
-	released bool
-
-	ending sync.RWMutex // guards over
-	over   bool         // the loop takes no more events
-
-	mu      sync.Mutex // guards what follows
-	report  directory.Report
-	given   directory.Report // to the directory, last
-	missing bool
-	alive   lives
+	spec          tree.Endpoint
+	queue         *queue.Queue
+	running       map[string]*Attempt
+	perModel      map[string]int
+	cost          time.Duration
+	ready         map[string]bool // models observed ready
+	leaving       bool            // the endpoint says so itself
+	misses        int
+	everObserved  bool      // observed at least once
+	observedStart time.Time // of the endpoint's life that was observed last
+	released      bool
+
+	inboxMu     sync.RWMutex // guards over
+	inboxClosed bool         // the loop takes no more events
+
+	mu          sync.Mutex // guards what follows
+	report      directory.Report
+	lastReport  directory.Report // to the directory, last
+	unreachable bool
+	instances   instanceTracker
 	// meanCost is a copy of cost for readers outside the loop.
 	meanCost time.Duration
 }
@@ -70,23 +70,23 @@
 func newRunner(mgr *Manager, id string, spec tree.Endpoint, ep core.Endpoint) *runner {
 	ctx, cancel := context.WithCancel(context.Background())
 	r := &runner{
-		id:       id,
-		addr:     spec.Addr,
-		kind:     spec.Kind,
-		mgr:      mgr,
-		endpoint: ep,
-		inbox:    make(chan event, inboxRing),
-		ctx:      ctx,
-		stop:     cancel,
-		spec:     spec,
-		queue:    queue.New(),
-		running:  map[string]*Attempt{},
-		perModel: map[string]int{},
-		cost:     firstCost,
-		ready:    map[string]bool{},
-		alive:    lives{clock: mgr.clock, is: life{begun: mgr.clock.Now()}},
+		id:        id,
+		addr:      spec.Addr,
+		kind:      spec.Kind,
+		mgr:       mgr,
+		endpoint:  ep,
+		inbox:     make(chan event, inboxSize),
+		ctx:       ctx,
+		stop:      cancel,
+		spec:      spec,
+		queue:     queue.New(),
+		running:   map[string]*Attempt{},
+		perModel:  map[string]int{},
+		cost:      initialCost,
+		ready:     map[string]bool{},
+		instances: instanceTracker{clock: mgr.clock, latest: instance{startedAt: mgr.clock.Now()}},
 	}
-	r.publish()
+	r.updateReport()
 	if spec.Kind == tree.KindModel {
 		r.ledger = newLedgerKeeper(r)
 		r.wg.Add(1)
@@ -98,13 +98,13 @@
 	return r
 }
 
-// post sends an event; false when the ring is full or the runner has ended. An
+// trySend sends an event; false when the ring is full or the runner has ended. An
 // event that were left in the ring of an ended loop would leave its caller
 // waiting until its deadline.
-func (r *runner) post(e event) bool {
-	r.ending.RLock()
-	defer r.ending.RUnlock()
-	if r.over {
+func (r *runner) trySend(e event) bool {
+	r.inboxMu.RLock()
+	defer r.inboxMu.RUnlock()
+	if r.inboxClosed {
 		return false
 	}
 	select {
@@ -115,8 +115,8 @@
 	}
 }
 
-// must sends an event that may not be dropped.
-func (r *runner) must(e event) {
+// send sends an event that may not be dropped.
+func (r *runner) send(e event) {
 	select {
 	case r.inbox <- e:
 	case <-r.ctx.Done():
@@ -125,34 +125,34 @@
 
 func (r *runner) loop() {
 	defer r.wg.Done()
-	tick := r.mgr.clock.NewTicker(tickEvery)
+	tick := r.mgr.clock.NewTicker(tickInterval)
 	defer tick.Stop()
 	for {
 		select {
 		case <-r.ctx.Done():
-			r.finish()
+			r.closeInbox()
 			return
 		case e := <-r.inbox:
 			e.apply(r)
 		case <-tick.Chan():
 			r.tick()
 		}
-		r.publish()
+		r.updateReport()
 	}
 }
 
-// finish refuses what waits and what still came in.
-func (r *runner) finish() {
-	r.ending.Lock()
-	r.over = true
-	r.ending.Unlock()
+// closeInbox refuses what waits and what still came in.
+func (r *runner) closeInbox() {
+	r.inboxMu.Lock()
+	r.inboxClosed = true
+	r.inboxMu.Unlock()
 	r.released = true
 	for {
 		select {
 		case e := <-r.inbox:
 			e.apply(r)
 		default:
-			r.refuseAll("runner_released", "the runner has another owner now")
+			r.refuseQueued("runner_released", "the runner has another owner now")
 			return
 		}
 	}
@@ -163,7 +163,7 @@
 	if spec, ok := r.mgr.spec(r.id); ok {
 		r.spec = spec
 	}
-	r.pump()
+	r.startWaiting()
 }
 
 // enqueue asks for a slot.
@@ -176,27 +176,27 @@
 		return
 	}
 	now := r.mgr.clock.Now()
-	item := &queue.Item{ID: a.Attempt, Class: a.Class, Retry: a.Retry, Deadline: now.Add(r.target(a)), Cost: r.cost, Value: a}
+	item := &queue.Item{ID: a.Attempt, Class: a.Class, Retry: a.Retry, Deadline: now.Add(r.targetLatency(a)), Cost: r.cost, Value: a}
 	r.queue.Push(item, now)
 	// A request whose deadline ends while it waits is answered then and there.
-	a.unwatch = context.AfterFunc(a.ctx, func() { r.must(giveUp{a}) })
-	r.pump()
+	a.stopDeadlineWatch = context.AfterFunc(a.ctx, func() { r.send(abandon{a}) })
+	r.startWaiting()
 }
 
-// pump starts waiting requests while there are slots.
-func (r *runner) pump() {
+// startWaiting starts waiting requests while there are slots.
+func (r *runner) startWaiting() {
 	for len(r.running) < max(1, r.spec.Slots) {
 		item := r.queue.Pop(r.mgr.clock.Now())
 		if item == nil {
 			return
 		}
 		a := item.Value.(*Attempt)
-		if err := r.permit(a); err != nil {
+		if err := r.checkSendable(a); err != nil {
 			r.refuse(a, err)
 			continue
 		}
 		if a.ctx.Err() != nil {
-			r.refuse(a, gaveUp())
+			r.refuse(a, errNotSentInTime())
 			continue
 		}
 		r.start(a)
@@ -204,38 +204,38 @@
 }
 
 func (r *runner) start(a *Attempt) {
-	a.unwatch()
+	a.stopDeadlineWatch()
 	t := r.mgr.replica.Tree()
 	a.endpoint = r.endpoint
-	a.stall = t.Effective(r.coord(a)).Stall
-	a.began = r.mgr.clock.Now()
-	a.life = r.alive.now()
-	if !a.limited {
+	a.stall = t.Effective(r.settingsCoord(a)).Stall
+	a.startedAt = r.mgr.clock.Now()
+	a.instance = r.instances.current()
+	if !a.tookToken {
 		r.mgr.limits.Charge(r.id) // was admitted before the endpoint named its limit
 	}
-	a.again = func() { r.mgr.limits.Charge(r.id) }
-	a.answered = func(h http.Header) {
+	a.onResume = func() { r.mgr.limits.Charge(r.id) }
+	a.onHeader = func(h http.Header) {
 		r.mgr.limits.Answered(r.id, core.ReplyInfo{Stamped: true, Limit: core.ReadRateLimit(h.Values(core.HeaderLimit))})
 	}
 	r.running[a.Attempt] = a
 	r.perModel[a.Model]++
 	r.wg.Add(1)
-	go a.run(r.mgr.guard, r.ended)
+	go a.run(r.mgr.guard, r.attemptEnded)
 }
 
-// ended is called by an attempt's own goroutine.
-func (r *runner) ended(a *Attempt) {
+// attemptEnded is called by an attempt's own goroutine.
+func (r *runner) attemptEnded(a *Attempt) {
 	defer r.wg.Done()
-	r.must(finished{attempt: a, took: r.mgr.clock.Since(a.began)})
+	r.send(freeSlot{attempt: a, took: r.mgr.clock.Since(a.startedAt)})
 }
 
-// finished frees a slot.
-type finished struct {
+// freeSlot frees a slot.
+type freeSlot struct {
 	attempt *Attempt
 	took    time.Duration
 }
 
-func (e finished) apply(r *runner) {
+func (e freeSlot) apply(r *runner) {
 	delete(r.running, e.attempt.Attempt)
 	r.perModel[e.attempt.Model]--
 	if _, fail := e.attempt.Buffer.Done(); fail == nil {
@@ -244,44 +244,44 @@
 	} else {
 		r.mgr.count("failed")
 	}
-	r.pump()
+	r.startWaiting()
 }
 
-// giveUp takes out a waiting request whose deadline is over or whose caller
+// abandon takes out a waiting request whose deadline is over or whose caller
 // has gone.
-type giveUp struct{ attempt *Attempt }
+type abandon struct{ attempt *Attempt }
 
-func (e giveUp) apply(r *runner) {
+func (e abandon) apply(r *runner) {
 	if r.queue.Remove(e.attempt.Attempt) != nil {
-		r.refuse(e.attempt, gaveUp())
+		r.refuse(e.attempt, errNotSentInTime())
 	}
 }
 
-func gaveUp() *core.RequestError {
-	return core.NotRun(http.StatusGatewayTimeout, "deadline", "the request's time ended before it was sent", minRetry)
+func errNotSentInTime() *core.RequestError {
+	return core.NotRun(http.StatusGatewayTimeout, "deadline", "the request's time ended before it was sent", minRetryAfter)
 }
 
-// observed is one answer, or none, to the question what the endpoint holds.
-type observed struct {
+// observation is one answer, or none, to the question what the endpoint holds.
+type observation struct {
 	obs core.Observation
 	err error
 }
 
-func (e observed) apply(r *runner) {
-	if is := r.alive.now(); !is.begun.Equal(r.begun) {
-		r.begun = is.begun
+func (e observation) apply(r *runner) {
+	if current := r.instances.current(); !current.startedAt.Equal(r.observedStart) {
+		r.observedStart = current.startedAt
 		r.mgr.limits.Forget(r.id) // was another process's
 	}
 	if e.err != nil {
 		r.misses++
-		if r.misses == missesToLose {
+		if r.misses == unreachableAfter {
 			r.mgr.log.Warn("endpoint does not answer", zap.String("runner", r.id), zap.Error(e.err))
-			r.refuseAll("runner_unreachable", "the endpoint does not answer")
+			r.refuseQueued("runner_unreachable", "the endpoint does not answer")
 		}
 		return
 	}
 	r.misses = 0
-	r.seen = true
+	r.everObserved = true
 	r.leaving = e.obs.Leaving
 	clear(r.ready)
 	for _, res := range e.obs.Residents {
@@ -290,42 +290,42 @@
 		}
 	}
 	if r.isLeaving() {
-		r.refuseAll("runner_leaving", "the endpoint takes no new work")
+		r.refuseQueued("runner_leaving", "the endpoint takes no new work")
 	}
-	r.pump()
+	r.startWaiting()
 }
 
-// refuseAll sends the waiting requests back so that their entries find another
+// refuseQueued sends the waiting requests back so that their entries find another
 // runner; what runs goes on.
-func (r *runner) refuseAll(code, message string) {
+func (r *runner) refuseQueued(code, message string) {
 	for _, item := range r.queue.Drain() {
-		r.refuse(item.Value.(*Attempt), core.NotRun(http.StatusServiceUnavailable, code, message, minRetry))
+		r.refuse(item.Value.(*Attempt), core.NotRun(http.StatusServiceUnavailable, code, message, minRetryAfter))
 	}
 }
 
-// release ends the runner's ownership: nothing new starts, what runs ends in
+// releaseOwnership ends the runner's ownership: nothing new starts, what runs ends in
 // its own time.
-type release struct{}
+type releaseOwnership struct{}
 
-func (release) apply(r *runner) {
+func (releaseOwnership) apply(r *runner) {
 	r.released = true
-	r.refuseAll("runner_released", "the runner has another owner now")
+	r.refuseQueued("runner_released", "the runner has another owner now")
 }
 
-// idle asks how many requests of a model run; the ledger waits for none before
+// countModel asks how many requests of a model run; the ledger waits for none before
 // it orders an eviction.
-type idle struct {
+type countModel struct {
 	model string
 	reply chan int
 }
 
-func (e idle) apply(r *runner) { e.reply <- r.perModel[e.model] }
+func (e countModel) apply(r *runner) { e.reply <- r.perModel[e.model] }
 
 // runObserve asks the endpoint what it holds, again and again.
 func (r *runner) runObserve() {
 	defer r.wg.Done()
 	for {
-		asked := r.mgr.clock.Now()
+		requestedAt := r.mgr.clock.Now()
 		obs, err := r.observe(r.ctx)
 		if r.ctx.Err() != nil {
 			return
@@ -333,20 +333,20 @@
 		if errors.Is(err, core.ErrNotFound) && r.kind == tree.KindPlain {
 			err = nil // plain services need not report anything
 		}
-		r.must(observed{obs, err})
+		r.send(observation{obs, err})
 		if r.ledger != nil && err == nil {
-			r.ledger.observe(obs, asked)
+			r.ledger.offerObservation(obs, requestedAt)
 		}
 		select {
 		case <-r.ctx.Done():
 			return
-		case <-r.mgr.clock.After(observeEvery):
+		case <-r.mgr.clock.After(observeInterval):
 		}
 	}
 }
 
-// publish makes the runner's report for the directory.
-func (r *runner) publish() {
+// updateReport makes the runner's report for the directory.
+func (r *runner) updateReport() {
 	rep := directory.Report{
 		Runner:  r.id,
 		Place:   r.spec.Place,
@@ -354,7 +354,7 @@
 		Slots:   r.spec.Slots,
 		Running: len(r.running),
 		Queued:  r.queue.Len(),
-		Wait:    r.wait(core.ClassNormal),
+		Wait:    r.expectedWait(core.ClassNormal),
 		Leaving: r.isLeaving(),
 		At:      r.mgr.clock.Now(),
 	}
@@ -367,37 +367,37 @@
 		}
 	}
 	slices.Sort(rep.Models)
-	if !r.seen || r.misses >= missesToLose || r.released {
+	if !r.everObserved || r.misses >= unreachableAfter || r.released {
 		rep.Models, rep.Service = nil, ""
 	}
 	r.mu.Lock()
 	r.report = rep
 	r.meanCost = r.cost
-	r.missing = r.misses >= missesToLose
+	r.unreachable = r.misses >= unreachableAfter
 	r.mu.Unlock()
 }
 
-// takeReport returns the runner's report, and whether it should be given to the
+// reportIfDue returns the runner's report, and whether it should be given to the
 // directory now: it has changed, or the last one given is a while old.
-func (r *runner) takeReport() (directory.Report, bool) {
+func (r *runner) reportIfDue() (directory.Report, bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	rep := r.report
-	last := r.given
-	due := rep.At.Sub(last.At) >= repeatEvery || rep.Running != last.Running || rep.Queued != last.Queued ||
-		rep.Leaving != last.Leaving || !slices.Equal(rep.Models, last.Models)
+	previous := r.lastReport
+	due := rep.At.Sub(previous.At) >= unchangedReportInterval || rep.Running != previous.Running || rep.Queued != previous.Queued ||
+		rep.Leaving != previous.Leaving || !slices.Equal(rep.Models, previous.Models)
 	if due {
-		r.given = rep
+		r.lastReport = rep
 	}
 	return rep, due
 }
 
 // close ends the runner after its running attempts.
 func (r *runner) close() {
-	r.must(release{})
+	r.send(releaseOwnership{})
 	for {
 		reply := make(chan int, 1)
-		r.must(count{reply})
+		r.send(countRunning{reply})
 		select {
 		case n := <-reply:
 			if n == 0 {
@@ -408,11 +408,11 @@
 		case <-r.ctx.Done():
 			return
 		}
-		<-r.mgr.clock.After(tickEvery)
+		<-r.mgr.clock.After(tickInterval)
 	}
 }
 
-// count asks how many attempts run.
-type count struct{ reply chan int }
+// countRunning asks how many attempts run.
+type countRunning struct{ reply chan int }
 
-func (e count) apply(r *runner) { e.reply <- len(r.running) }
+func (e countRunning) apply(r *runner) { e.reply <- len(r.running) }
--- a/coordination/owner/shared.go
+++ b/coordination/owner/shared.go
@@ -17,29 +17,29 @@
 
 const (
 	storeName = "weights"
-	// minLoadLife is how long a load keeps its slot of the weight store when
+	// minLoadSlotTTL is how long a load keeps its slot of the weight store when
 	// nobody reports its end.
-	minLoadLife = time.Minute
-	casTries    = 4
+	minLoadSlotTTL     = time.Minute
+	maxConflictRetries = 4
 )
 
-// change reads an object's body, lets fn make the next one and writes it by a
+// updateObject reads an object's body, lets fn make the next one and writes it by a
 // conditional update, again after lost races. fn returns false to write
 // nothing.
-func change[T any](ctx context.Context, p core.Platform, kind, name string, fn func(T) (T, bool, error)) error {
-	for try := 0; ; try++ {
-		err := changeOnce(ctx, p, kind, name, fn)
+func updateObject[T any](ctx context.Context, p core.Platform, kind, name string, fn func(T) (T, bool, error)) error {
+	for retries := 0; ; retries++ {
+		err := updateObjectOnce(ctx, p, kind, name, fn)
 		if errors.Is(err, core.ErrOvertaken) {
 			return nil // written, and what followed was made from it
 		}
-		lost := errors.Is(err, core.ErrConflict) || errors.Is(err, core.ErrExists)
-		if !lost || try == casTries {
+		conflict := errors.Is(err, core.ErrConflict) || errors.Is(err, core.ErrExists)
+		if !conflict || retries == maxConflictRetries {
 			return err
 		}
 	}
 }
 
-func changeOnce[T any](ctx context.Context, p core.Platform, kind, name string, fn func(T) (T, bool, error)) error {
+func updateObjectOnce[T any](ctx context.Context, p core.Platform, kind, name string, fn func(T) (T, bool, error)) error {
 	var body T
 	o, err := p.Get(ctx, kind, name)
 	switch {
@@ -75,10 +75,10 @@
 	ready func(ctx context.Context, model string) []string
 }
 
-// ensure pins a ready replica if the pinned one is not seen ready.
-func (f *floors) ensure(ctx context.Context, model, runner string) {
+// ensurePin pins a ready replica if the pinned one is not seen ready.
+func (f *floors) ensurePin(ctx context.Context, model, runner string) {
 	seen := f.ready(ctx, model)
-	err := change(ctx, f.platform, core.KindFloor, model, func(body ledger.Floor) (ledger.Floor, bool, error) {
+	err := updateObject(ctx, f.platform, core.KindFloor, model, func(body ledger.Floor) (ledger.Floor, bool, error) {
 		if slices.Contains(seen, body.Pin) {
 			return body, false, nil
 		}
@@ -90,11 +90,11 @@
 	}
 }
 
-// evict asks for a runner's replica to be evicted. Where it is the pinned one,
+// beginEviction asks for a runner's replica to be evicted. Where it is the pinned one,
 // another that is seen ready is pinned in the same write.
-func (f *floors) evict(ctx context.Context, model, runner string) error {
+func (f *floors) beginEviction(ctx context.Context, model, runner string) error {
 	seen := f.ready(ctx, model)
-	return change(ctx, f.platform, core.KindFloor, model, func(body ledger.Floor) (ledger.Floor, bool, error) {
+	return updateObject(ctx, f.platform, core.KindFloor, model, func(body ledger.Floor) (ledger.Floor, bool, error) {
 		for _, other := range seen {
 			if body.Pin != runner && slices.Contains(seen, body.Pin) {
 				break
@@ -111,9 +111,9 @@
 	})
 }
 
-// done forgets an eviction that has ended or was not begun.
-func (f *floors) done(ctx context.Context, model, runner string) {
-	err := change(ctx, f.platform, core.KindFloor, model, func(body ledger.Floor) (ledger.Floor, bool, error) {
+// endEviction forgets an eviction that has ended or was not begun.
+func (f *floors) endEviction(ctx context.Context, model, runner string) {
+	err := updateObject(ctx, f.platform, core.KindFloor, model, func(body ledger.Floor) (ledger.Floor, bool, error) {
 		if !slices.Contains(body.Evicting, runner) {
 			return body, false, nil
 		}
@@ -124,17 +124,17 @@
 	}
 }
 
-// weights is the shared budget of the weight store.
-type weights struct {
+// weightStore is the shared budget of the weight store.
+type weightStore struct {
 	platform core.Platform
 	clock    core.Clock
 	log      *zap.Logger
 }
 
-// take reserves a load; ErrUnavailable means that none is free now.
-func (w *weights) take(ctx context.Context, id string, limits tree.Store, load time.Duration) error {
-	return change(ctx, w.platform, core.KindStore, storeName, func(s ledger.Slots) (ledger.Slots, bool, error) {
-		next, wait := s.Take(id, w.clock.Now(), max(minLoadLife, 3*load), limits.Rate, limits.Slots)
+// reserve reserves a load; ErrUnavailable means that none is free now.
+func (w *weightStore) reserve(ctx context.Context, id string, limits tree.Store, load time.Duration) error {
+	return updateObject(ctx, w.platform, core.KindStore, storeName, func(s ledger.Slots) (ledger.Slots, bool, error) {
+		next, wait := s.Take(id, w.clock.Now(), max(minLoadSlotTTL, 3*load), limits.Rate, limits.Slots)
 		if wait > 0 {
 			return s, false, eris.Wrapf(core.ErrUnavailable, "the weight store is busy for %s", wait)
 		}
@@ -143,8 +143,8 @@
 }
 
 // release gives a load's slot back.
-func (w *weights) release(ctx context.Context, id string) {
-	err := change(ctx, w.platform, core.KindStore, storeName, func(s ledger.Slots) (ledger.Slots, bool, error) {
+func (w *weightStore) release(ctx context.Context, id string) {
+	err := updateObject(ctx, w.platform, core.KindStore, storeName, func(s ledger.Slots) (ledger.Slots, bool, error) {
 		next, changed := s.Release(id)
 		return next, changed, nil
 	})
--- a/coordination/route/budget.go
+++ b/coordination/route/budget.go
@@ -12,9 +12,9 @@
 	retryBurst = 10
 	// penaltyStep is added to a runner's cost for each failed attempt and
 	// halves every penaltyHalf, so that it is probed back slowly.
-	penaltyStep = 500 * time.Millisecond
-	penaltyHalf = 2 * time.Second
-	penaltyMax  = 10 * time.Second
+	penaltyStep     = 500 * time.Millisecond
+	penaltyHalfLife = 2 * time.Second
+	maxPenalty      = 10 * time.Second
 )
 
 // Budget bounds retries to a share of first tries. Without it a failing place
@@ -53,8 +53,8 @@
 }
 
 type mark struct {
-	penalty time.Duration
-	at      time.Time
+	penalty  time.Duration
+	markedAt time.Time
 }
 
 // NewHealth returns a Health without marks.
@@ -67,8 +67,8 @@
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	now := h.clock.Now()
-	p := min(penaltyMax, h.marks[runner].now(now)+penaltyStep)
-	h.marks[runner] = mark{penalty: p, at: now}
+	penalty := min(maxPenalty, h.marks[runner].remaining(now)+penaltyStep)
+	h.marks[runner] = mark{penalty: penalty, markedAt: now}
 }
 
 // Worked clears a runner's mark.
@@ -86,11 +86,11 @@
 	if !ok {
 		return 0
 	}
-	return m.now(h.clock.Now())
+	return m.remaining(h.clock.Now())
 }
 
-func (m mark) now(t time.Time) time.Duration {
-	halvings := t.Sub(m.at) / penaltyHalf
+func (m mark) remaining(now time.Time) time.Duration {
+	halvings := now.Sub(m.markedAt) / penaltyHalfLife
 	if halvings > 20 {
 		return 0
 	}
--- a/coordination/route/choose.go
+++ b/coordination/route/choose.go
@@ -13,17 +13,17 @@
 )
 
 const (
-	// otherPlace is what a request to another place costs, both ways.
-	otherPlace = 3 * time.Millisecond
-	// perQueued is what one request more than there are slots costs, until an
+	// otherDataCentreCost is what a request to another place costs, both ways.
+	otherDataCentreCost = 3 * time.Millisecond
+	// costPerQueued is what one request more than there are slots costs, until an
 	// owner's report says better.
-	perQueued = 50 * time.Millisecond
-	// prefillPerKB is what a cached kilobyte of prompt saves, roughly.
-	prefillPerKB = 2 * time.Millisecond
-	maxPrefix    = 32 << 10
-	// tie is the difference below which candidates count as equal, so that
+	costPerQueued = 50 * time.Millisecond
+	// prefillSavedPerKB is what a cached kilobyte of prompt saves, roughly.
+	prefillSavedPerKB = 2 * time.Millisecond
+	maxPrefixBytes    = 32 << 10
+	// tieTolerance is the difference below which candidates count as equal, so that
 	// entries with the same reports do not all choose the same runner.
-	tie = 2 * time.Millisecond
+	tieTolerance = 2 * time.Millisecond
 )
 
 // Candidate is a runner that may serve a request.
@@ -43,10 +43,10 @@
 func (a Ask) Cost(c *Candidate) time.Duration {
 	cost := c.Wait + c.Penalty
 	if c.Place != a.Place {
-		cost += otherPlace
+		cost += otherDataCentreCost
 	}
-	if over := c.Running + c.Queued + c.Sent - c.Slots + 1; over > 0 {
-		cost += time.Duration(over) * perQueued / time.Duration(max(1, c.Slots))
+	if excess := c.Running + c.Queued + c.Sent - c.Slots + 1; excess > 0 {
+		cost += time.Duration(excess) * costPerQueued / time.Duration(max(1, c.Slots))
 	}
 	return cost
 }
@@ -59,43 +59,43 @@
 	if len(candidates) == 0 {
 		return -1
 	}
-	home := a.home(candidates)
-	saved := time.Duration(min(len(a.Prefix), maxPrefix)/1024) * prefillPerKB
+	cached := a.cachedAt(candidates)
+	saved := time.Duration(min(len(a.Prefix), maxPrefixBytes)/1024) * prefillSavedPerKB
 	best := time.Duration(1<<63 - 1)
 	var ties []int
 	for i := range candidates {
 		cost := a.Cost(&candidates[i])
-		if i == home {
+		if i == cached {
 			cost -= saved
 		}
 		switch {
-		case cost < best-tie:
+		case cost < best-tieTolerance:
 			best = cost
 			ties = append(ties[:0], i)
-		case cost <= best+tie:
+		case cost <= best+tieTolerance:
 			best = min(best, cost)
 			ties = append(ties, i)
 		}
 	}
-	if slices.Contains(ties, home) && saved > 0 {
-		return home
+	if slices.Contains(ties, cached) && saved > 0 {
+		return cached
 	}
 	return ties[rand.IntN(len(ties))]
 }
 
-// home is the candidate that the prefix hashes to, or -1.
-func (a Ask) home(candidates []Candidate) int {
+// cachedAt is the candidate that the prefix hashes to, or -1.
+func (a Ask) cachedAt(candidates []Candidate) int {
 	if len(a.Prefix) == 0 {
 		return -1
 	}
-	home := -1
-	var top uint64
-	digest := xxhash.Sum64(a.Prefix[:min(len(a.Prefix), maxPrefix)])
+	best := -1
+	var bestScore uint64
+	digest := xxhash.Sum64(a.Prefix[:min(len(a.Prefix), maxPrefixBytes)])
 	for i := range candidates {
 		score := (digest ^ xxhash.Sum64String(candidates[i].Runner)) * 0x9e3779b97f4a7c15
-		if home < 0 || score > top {
-			home, top = i, score
+		if best < 0 || score > bestScore {
+			best, bestScore = i, score
 		}
 	}
-	return home
+	return best
 }
--- a/coordination/route/route_test.go
+++ b/coordination/route/route_test.go
@@ -11,8 +11,8 @@
 	"primroseward/state/directory"
 )
 
-func candidate(id, place string, wait time.Duration, running int) Candidate {
-	return Candidate{Report: directory.Report{Runner: id, Place: place, Wait: wait, Slots: 4, Running: running}}
+func candidate(id, dataCentre string, wait time.Duration, running int) Candidate {
+	return Candidate{Report: directory.Report{Runner: id, Place: dataCentre, Wait: wait, Slots: 4, Running: running}}
 }
 
 func TestChoose(t *testing.T) {
@@ -32,25 +32,25 @@
 		{"failed lately", []Candidate{failed, candidate("r2", "b", 0, 0)}, 1},
 		{"sent to since the report", []Candidate{sent, candidate("r2", "a", 0, 0)}, 1},
 	}
-	for _, one := range cases {
-		got := Ask{Place: "a"}.Choose(one.candidates)
-		assert.Equal(t, got, one.want, one.name)
+	for _, tt := range cases {
+		got := Ask{Place: "a"}.Choose(tt.candidates)
+		assert.Equal(t, got, tt.want, tt.name)
 	}
 }
 
-func TestPrefixStaysUntilItsRunnerIsBusy(t *testing.T) {
+func TestPrefixKeepsRunnerUntilBusy(t *testing.T) {
 	prefix := make([]byte, 16<<10)
 	idle := []Candidate{candidate("r1", "a", 0, 0), candidate("r2", "a", 0, 0), candidate("r3", "a", 0, 0)}
-	ask := Ask{Place: "a", Prefix: prefix}
-	home := ask.Choose(idle)
+	requirements := Ask{Place: "a", Prefix: prefix}
+	cached := requirements.Choose(idle)
 	for range 20 {
-		assert.Equal(t, ask.Choose(idle), home)
+		assert.Equal(t, requirements.Choose(idle), cached)
 	}
-	idle[home].Wait = 500 * time.Millisecond
-	assert.Assert(t, ask.Choose(idle) != home)
+	idle[cached].Wait = 500 * time.Millisecond
+	assert.Assert(t, requirements.Choose(idle) != cached)
 }
 
-func TestTiesAreSpread(t *testing.T) {
+func TestTiesAreBrokenAtRandom(t *testing.T) {
 	idle := []Candidate{candidate("r1", "a", 0, 0), candidate("r2", "a", 0, 0)}
 	seen := map[int]int{}
 	for range 200 {
@@ -60,7 +60,7 @@
 }
 
 // Failing requests would double the load on what is left of a system.
-func TestRetriesAreAShareOfTraffic(t *testing.T) {
+func TestRetriesAreBoundedByBudget(t *testing.T) {
 	b := NewBudget()
 	retries := 0
 	for range 1000 {
@@ -73,13 +73,13 @@
 	assert.Assert(t, retries >= 100)
 }
 
-func TestFailedRunnerIsProbedBack(t *testing.T) {
+func TestPenaltyHalvesAndClears(t *testing.T) {
 	clock := clockwork.NewFakeClock()
 	h := NewHealth(clock)
 	h.Failed("r")
 	h.Failed("r")
 	assert.Equal(t, h.Penalty("r"), 2*penaltyStep)
-	clock.Advance(penaltyHalf)
+	clock.Advance(penaltyHalfLife)
 	assert.Equal(t, h.Penalty("r"), penaltyStep)
 	h.Worked("r")
 	assert.Equal(t, h.Penalty("r"), time.Duration(0))
@@ -91,11 +91,11 @@
 		for i := range n {
 			candidates = append(candidates, candidate(fmt.Sprint("r", i), "a", time.Duration(i)*time.Millisecond, i%5))
 		}
-		ask := Ask{Place: "a", Prefix: make([]byte, 4096)}
+		requirements := Ask{Place: "a", Prefix: make([]byte, 4096)}
 		b.Run(fmt.Sprintf("replicas=%d", n), func(b *testing.B) {
 			b.ReportAllocs()
 			for b.Loop() {
-				ask.Choose(candidates)
+				requirements.Choose(candidates)
 			}
 		})
 	}
