--- a/coordination/claim/claim.go
+++ b/coordination/claim/claim.go
@@ -1,5 +1,5 @@
-// Package claim makes keyed requests that must not be repeated run at most
-// once, through one platform object per key that only one daemon can create.
+// Package claim ensures that requests with an idempotency key that are not repeatable run
+// at most once. It uses one platform object per key, which only one daemon can create.
 package claim
 
 import (
@@ -18,8 +18,8 @@
 )
 
 const (
-	// retention is how long a claim outlives its request: longer than any caller
-	// goes on sending the same key.
+	// retention is how long a claim is kept after it was made. It exceeds the time for
+	// which any caller keeps sending the same key.
 	retention         = 24 * time.Hour
 	releaseBuffer     = 1024
 	releaseInterval   = 2 * time.Second
@@ -29,21 +29,21 @@
 	callTimeout       = 5 * time.Second
 )
 
-// Body is what a claim says.
+// Body is the content of a claim object.
 type Body struct {
-	Token  string    `json:"token"`  // unique to the taker
+	Token  string    `json:"token"`  // unique to each call of Take
 	Print  uint64    `json:"print"`  // fingerprint of the request
-	Member string    `json:"member"` // that took the request and holds its answer
+	Member string    `json:"member"` // daemon that made the claim and holds the answer
 	At     time.Time `json:"at"`
 }
 
-// Claim is a claim that this daemon has won.
+// Claim is a claim that this daemon has made.
 type Claim struct {
 	name  string
 	token string
 }
 
-// Claims takes and gives back claims.
+// Claims makes and releases claims.
 type Claims struct {
 	platform core.Platform
 	members  core.Members
@@ -54,17 +54,18 @@
 	stop     context.CancelFunc
 }
 
+// pendingRelease is a claim to be deleted and the number of retries so far.
 type pendingRelease struct {
 	claim   Claim
 	retries int
 }
 
-// New makes a Claims.
+// New creates a Claims; Start begins its background work.
 func New(platform core.Platform, members core.Members, clock core.Clock, log *zap.Logger) *Claims {
 	return &Claims{platform: platform, members: members, clock: clock, log: log, releases: make(chan pendingRelease, releaseBuffer)}
 }
 
-// Start begins to delete what is given back or out of date.
+// Start begins to delete released and expired claims in the background.
 func (c *Claims) Start() {
 	ctx, cancel := context.WithCancel(context.Background())
 	c.stop = cancel
@@ -73,21 +74,22 @@
 	go c.runSweep(ctx)
 }
 
-// Stop ends it.
+// Stop ends the background work and waits for it.
 func (c *Claims) Stop() {
 	c.stop()
 	c.wg.Wait()
 }
 
-// objectName makes an object objectName of a key, which may hold any character.
+// objectName derives an object name from a key, which may contain any character.
 func objectName(key string) string {
 	sum := sha256.Sum256([]byte(key))
 	return hex.EncodeToString(sum[:16])
 }
 
-// Take claims a key. When another request holds it, Take returns that one's
-// body with ErrExists. ErrUnavailable means that the claim may or may not have
-// been made; nothing may be sent then, and it will be given back.
+// Take claims a key. If another request holds the claim, Take returns the body of that
+// claim with ErrExists. ErrUnavailable means that the claim may or may not have been made,
+// or that the existing one could not be read; the request must not be sent then. A claim
+// that may have been made is released.
 func (c *Claims) Take(ctx context.Context, key string, fingerprint uint64) (Claim, Body, error) {
 	claim := Claim{name: objectName(key), token: uuid.NewString()}
 	body := Body{Token: claim.token, Print: fingerprint, Member: c.members.Self().Name, At: c.clock.Now()}
@@ -107,6 +109,7 @@
 	}
 }
 
+// existing returns the body of the claim that another request holds.
 func (c *Claims) existing(ctx context.Context, claim Claim) (Claim, Body, error) {
 	body, err := c.read(ctx, claim.name)
 	if err != nil {
@@ -115,13 +118,13 @@
 	return claim, body, core.ErrExists
 }
 
-// Find returns what the claim of a key says, without making one; ErrNotFound if there is
-// none.
+// Find returns the body of the claim of a key without making one, or ErrNotFound if there
+// is none.
 func (c *Claims) Find(ctx context.Context, key string) (Body, error) {
 	return c.read(ctx, objectName(key))
 }
 
-// read returns what a claim says; one that can't be read says nothing.
+// read returns the body of a claim. A claim that cannot be decoded gives an empty body.
 func (c *Claims) read(ctx context.Context, name string) (Body, error) {
 	o, err := c.platform.Get(ctx, core.KindClaim, name)
 	if err != nil {
@@ -134,14 +137,14 @@
 	return body, nil
 }
 
-// GiveBack deletes a claim whose request was provably not run, so that the
-// caller can send it again. It is retried in the background: a claim that
-// stayed would block its key without need.
+// GiveBack deletes a claim whose request has certainly not run, so that the caller can
+// send the request again. The deletion is retried in the background, because a claim that
+// remained would block its key needlessly.
 func (c *Claims) GiveBack(claim Claim) {
 	select {
 	case c.releases <- pendingRelease{claim: claim}:
 	default:
-		c.log.Warn("a claim is kept although its request did not run", zap.String("claim", claim.name))
+		c.log.Warn("release queue is full; a claim is kept although its request did not run", zap.String("claim", claim.name))
 	}
 }
 
@@ -162,6 +165,8 @@
 	}
 }
 
+// retryReleases retries pending releases and returns those to be retried later. A release
+// is dropped after maxReleaseRetries.
 func (c *Claims) retryReleases(ctx context.Context, pending []pendingRelease) []pendingRelease {
 	var left []pendingRelease
 	for _, r := range pending {
@@ -173,9 +178,9 @@
 	return left
 }
 
-// release deletes the claim if it still carries the token. A claim that is
-// not there may yet appear when the write that made it is late, so only a
-// deletion or another's token counts as done.
+// release deletes the claim if it still carries the token, and reports whether the release
+// is finished. A claim that is missing may still appear if the write that made it is late,
+// so only a deletion, a body that cannot be decoded, or another token counts as finished.
 func (c *Claims) release(ctx context.Context, claim Claim) bool {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
@@ -190,7 +195,7 @@
 	return c.platform.Delete(ctx, o) == nil
 }
 
-// runSweep deletes old claims, a few a second, from one daemon at a time.
+// runSweep deletes expired claims, one every sweepPause, on one daemon at a time.
 func (c *Claims) runSweep(ctx context.Context) {
 	defer c.wg.Done()
 	for {
--- a/coordination/owner/admit.go
+++ b/coordination/owner/admit.go
@@ -11,6 +11,8 @@
 	"primroseward/state/tree"
 )
 
+// targetLatency returns the target time to first byte of the attempt's class by the
+// settings in force, or 0 while there are none.
 func (r *runner) targetLatency(a *Attempt) time.Duration {
 	t := r.mgr.replica.Tree()
 	if t == nil {
@@ -19,13 +21,15 @@
 	return t.Effective(r.settingsCoord(a)).Target(a.Class)
 }
 
+// settingsCoord returns the coordinates under which the settings of an attempt on this
+// runner are looked up.
 func (r *runner) settingsCoord(a *Attempt) tree.Coord {
 	return tree.Coord{Service: a.Service, Model: a.Model, Place: r.spec.Place}
 }
 
-// admit refuses what may not or could not be served here in time. The queue
-// tells exactly what is ahead, so the refusal is made now and not after a wait
-// that cannot end well.
+// admit refuses an attempt that may not be served here or cannot be served in time. The
+// work ahead in the queue is known at this point, so an attempt that would exceed its
+// target or its deadline is refused at once instead of after a useless wait.
 func (r *runner) admit(a *Attempt) *core.RequestError {
 	if err := r.checkSendable(a); err != nil {
 		return err
@@ -40,7 +44,8 @@
 	return r.takeToken(a)
 }
 
-// takeToken lets an attempt through by the limit that the endpoint names.
+// takeToken takes a token from the bucket that enforces the endpoint's published limit,
+// and refuses the attempt if there is none. Endpoints without a limit need no token.
 func (r *runner) takeToken(a *Attempt) *core.RequestError {
 	limit, ok := r.mgr.limits.Limit(r.id)
 	if !ok {
@@ -53,10 +58,10 @@
 	}
 	r.mgr.log.Info(logs.RunnerAtLimit, zap.String("runner", r.id), zap.String("request", a.Request.Request), zap.Float64("limit", limit.Rate),
 		zap.Duration("heard", limit.Age), zap.Float64("left", admission.Left), zap.Float64("asked", admission.Asked), zap.Duration("retry", admission.Retry))
-	return core.NotRun(http.StatusServiceUnavailable, core.CodeLimited, "the endpoint takes no more for now", admission.Retry)
+	return core.NotRun(http.StatusServiceUnavailable, core.CodeLimited, "the endpoint's rate limit is reached", admission.Retry)
 }
 
-// refuse ends an attempt that was admitted and is not sent.
+// refuse ends an attempt that was admitted but is not sent, and gives its token back.
 func (r *runner) refuse(a *Attempt, err *core.RequestError) {
 	if a.tookToken {
 		r.mgr.limits.Give(r.id)
@@ -64,8 +69,9 @@
 	a.refuse(err)
 }
 
-// checkSendable checks what must hold at the moment of sending: the settings in force
-// here, the endpoint's leaving, and that the model is there to stay.
+// checkSendable checks what must hold when an attempt is sent: this daemon owns the
+// runner, the settings in force allow its data centre and are recent enough, the endpoint
+// answers and is not leaving, and the model is ready and not about to be evicted.
 func (r *runner) checkSendable(a *Attempt) *core.RequestError {
 	t := r.mgr.replica.Tree()
 	if t == nil || r.released {
@@ -73,13 +79,13 @@
 	}
 	eff, ok := t.Allowed(r.settingsCoord(a))
 	if !ok {
-		return core.NotRun(http.StatusForbidden, "place_not_allowed", "settings do not allow the runner's place", 0)
+		return core.NotRun(http.StatusForbidden, "place_not_allowed", "settings do not allow the runner's data centre", 0)
 	}
 	if age := r.mgr.settingsAge(); eff.Fresh > 0 && (age < 0 || age > eff.Fresh) {
-		return core.NotRun(http.StatusServiceUnavailable, "settings_not_fresh", "settings could not be confirmed lately", minRetryAfter)
+		return core.NotRun(http.StatusServiceUnavailable, "settings_not_fresh", "settings have not been confirmed recently", minRetryAfter)
 	}
 	if r.isLeaving() {
-		return core.NotRun(http.StatusServiceUnavailable, "runner_leaving", "the endpoint takes no new work", minRetryAfter)
+		return core.NotRun(http.StatusServiceUnavailable, "runner_leaving", "the endpoint accepts no new requests", minRetryAfter)
 	}
 	if r.misses >= unreachableAfter {
 		return core.NotRun(http.StatusServiceUnavailable, "runner_unreachable", "the endpoint does not answer", minRetryAfter)
@@ -90,17 +96,19 @@
 	return nil
 }
 
+// isLeaving reports whether the endpoint accepts no new requests: it says so itself, it is
+// drained or marked as leaving, or the settings no longer list it.
 func (r *runner) isLeaving() bool {
 	_, listed := r.mgr.spec(r.id)
 	return r.leaving || r.spec.Drain || !listed || r.mgr.replica.Leaving(r.id)
 }
 
-// serves says whether a model is ready and not about to be evicted.
+// serves reports whether a model is ready and not about to be evicted.
 func (r *runner) serves(model string) bool {
 	return r.ready[model] && (r.ledger == nil || !r.ledger.evictingOnlyVersion(model))
 }
 
-// expectedWait is the expected time until a new request of a class starts.
+// expectedWait returns the expected time until a new request of a class starts.
 func (r *runner) expectedWait(c core.Class) time.Duration {
 	slots := max(1, r.spec.Slots)
 	if len(r.running) < slots && r.queue.Len() == 0 {
--- a/coordination/owner/attempt.go
+++ b/coordination/owner/attempt.go
@@ -19,17 +19,18 @@
 )
 
 const (
-	// maxResumes bounds how often one stream is read again on a new connection.
+	// maxResumes bounds how often one stream is resumed on a new connection.
 	maxResumes = 3
-	// cancelTimeout bounds the word to an engine that a caller has gone.
+	// cancelTimeout bounds the call that cancels an attempt at the engine after its answer
+	// could not be completed.
 	cancelTimeout  = time.Second
 	copyBufferSize = 32 << 10
 )
 
-// doneMarker ends a stream of server-sent events in OpenAI's form.
+// doneMarker ends a stream of server-sent events in the OpenAI API.
 var doneMarker = []byte("data: [DONE]")
 
-// Request is one attempt as the entry asks for it.
+// Request is one attempt as an entry dispatches it to the owner.
 type Request struct {
 	Request  string
 	Attempt  string
@@ -42,12 +43,12 @@
 	Path     string
 	Header   http.Header
 	Body     []byte
-	Repeat   bool
-	Retry    bool
-	Digest   core.Digest // of what the request asks
+	Repeat   bool        // the request may be sent again: it is idempotent
+	Retry    bool        // this is a further attempt of the request
+	Digest   core.Digest // hash of the request, for the quarantine
 }
 
-// Attempt is one attempt in progress or lately ended.
+// Attempt is an attempt that is in progress or has ended recently.
 type Attempt struct {
 	Request
 	Buffer *answer.Buffer
@@ -57,16 +58,16 @@
 	clock             core.Clock
 	ctx               context.Context
 	cancel            context.CancelFunc
-	startedAt         time.Time           // of its slot; set before run starts
-	instance          instance            // of the endpoint when it was sent; set before run starts
-	onHeader          func(h http.Header) // takes in an answer's headers; set before run starts
-	onResume          func()              // counts the answer as asked for once more; set before run starts
-	tookToken         bool                // has been let through by the endpoint's limit; held by the loop
-	lastReadAt        time.Time           // last seen with a reader; held by the sweep
-	endedAt           time.Time           // held by the sweep
-	status            int                 // of the answer; held by run
+	startedAt         time.Time           // when it took its slot; set before run starts
+	instance          instance            // of the endpoint at the time of sending; set before run starts
+	onHeader          func(h http.Header) // called with the answer's headers; set before run starts
+	onResume          func()              // charges a resumption to the endpoint's limit; set before run starts
+	tookToken         bool                // holds a token of the endpoint's limit; used only by the runner's loop
+	lastReadAt        time.Time           // when the sweep last saw a reader; used only by the sweep
+	endedAt           time.Time           // when the sweep first saw the end; used only by the sweep
+	status            int                 // of the answer; used only by run
 	span              trace.SpanContext
-	stopDeadlineWatch func() bool // ends the watch for a deadline in the queue
+	stopDeadlineWatch func() bool // unregisters the callback for a deadline that passes in the queue
 }
 
 // refuse ends an attempt that was never sent.
@@ -75,8 +76,8 @@
 	a.cancel()
 }
 
-// run sends the attempt and copies its answer until it ends; it then tells the guard
-// and its runner.
+// run sends the attempt and copies its answer until it ends. It then reports the outcome
+// to the guard and calls done.
 func (a *Attempt) run(guard core.Guard, done func(*Attempt)) {
 	defer done(a)
 	defer a.reportOutcome(guard)
@@ -101,7 +102,7 @@
 	a.Buffer.Finish()
 }
 
-// reportOutcome tells the guard how the attempt has ended at its endpoint.
+// reportOutcome reports to the quarantine guard how the attempt ended at its endpoint.
 func (a *Attempt) reportOutcome(guard core.Guard) {
 	_, err := a.Buffer.Done()
 	switch {
@@ -110,7 +111,8 @@
 			guard.Worked(a.Digest)
 		}
 	case err.Code == core.CodeEndpointBroken:
-		// The endpoint is sent no more than it has slots, so that it had begun.
+		// Begun: the endpoint is never sent more requests than it has slots, so it had
+		// started on this one.
 		guard.Broke(core.Broken{Digest: a.Digest, Runner: a.instance.runner(a.Runner), Route: a.Service, Service: a.Service, Begun: true})
 	}
 }
@@ -128,9 +130,9 @@
 	}
 }
 
-// copyAnswer copies the answer. When the connection breaks or goes silent the
-// engine may still hold the stream, so it is read on from the same offset over
-// a new connection; the caller sees neither gap nor repetition.
+// copyAnswer copies the answer to the buffer. When the connection breaks or stalls, the
+// engine may still hold the stream, so the answer is resumed at the same offset over a new
+// connection; the caller sees neither a gap nor a repetition.
 func (a *Attempt) copyAnswer(ctx context.Context, ans *core.Answer) error {
 	tail := &tailCheck{enabled: isEventStream(ans.Header)}
 	err := a.copyBody(ctx, ans.Body, tail)
@@ -174,7 +176,8 @@
 	return strings.HasPrefix(h.Get("Content-Type"), "text/event-stream")
 }
 
-// tailCheck keeps the end of a stream of events to see its end marker.
+// tailCheck keeps the last bytes of an event stream to check that it ends with its end
+// marker.
 type tailCheck struct {
 	enabled bool
 	tail    []byte
@@ -196,19 +199,22 @@
 	return !t.enabled || bytes.HasSuffix(bytes.TrimRight(t.tail, "\r\n"), doneMarker)
 }
 
+// classifyCopyError maps an error of copyAnswer to the error that the caller receives:
+// deadline, cancelled, or a broken endpoint.
 func (a *Attempt) classifyCopyError(err error) *core.RequestError {
 	if a.ctx.Err() != nil {
 		if !a.clock.Now().Before(a.Deadline) {
-			e := core.MayHaveRun("deadline", "the answer was not whole by the deadline")
+			e := core.MayHaveRun("deadline", "the answer was not complete by the deadline")
 			e.Status = http.StatusGatewayTimeout
 			return e
 		}
-		return core.MayHaveRun("cancelled", "the caller has gone")
+		return core.MayHaveRun("cancelled", "the caller disconnected")
 	}
 	return core.MayHaveRun(core.CodeEndpointBroken, err.Error())
 }
 
-// cancelAtEngine frees the engine from work that nobody waits for.
+// cancelAtEngine cancels the attempt at the engine, so that the engine does not work on an
+// answer that nobody reads.
 func (a *Attempt) cancelAtEngine() {
 	if a.Model == "" {
 		return
@@ -218,14 +224,16 @@
 	_ = a.endpoint.Cancel(ctx, a.Attempt)
 }
 
-// attempts finds attempts by id. An attempt's id stays known for a while after
-// its end, so that a dispatch which a transport sends twice joins the first
+// attempts is an index of attempts by ID. An ID stays known for a while after the attempt
+// has ended, so that a dispatch that the transport sends twice joins the first attempt
 // instead of running again.
 type attempts struct {
 	mu   sync.Mutex
 	byID map[string]*Attempt
 }
 
+// register adds an attempt. If its ID is already known, it returns the existing attempt
+// and false.
 func (m *attempts) register(a *Attempt) (*Attempt, bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -243,9 +251,9 @@
 	return a, ok
 }
 
-// sweep drops the answers of attempts that ended a while ago, forgets their
-// ids later, and cancels attempts that nobody has read for long if they may be
-// repeated.
+// sweep releases the answers of attempts that ended more than releaseAfter ago, forgets
+// their IDs after forgetAfter, and cancels attempts that have had no reader for
+// orphanAfter if their request is repeatable.
 func (m *attempts) sweep(now time.Time, releaseAfter, forgetAfter, orphanAfter time.Duration) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -268,7 +276,8 @@
 	}
 }
 
-// cancelIfOrphaned cancels an attempt whose entry has been away for too long.
+// cancelIfOrphaned cancels a repeatable attempt that no entry has read for longer than
+// after.
 func (a *Attempt) cancelIfOrphaned(now time.Time, after time.Duration) {
 	if a.Buffer.Readers() > 0 || !a.Repeat {
 		a.lastReadAt = now
--- a/coordination/owner/attempt_test.go
+++ b/coordination/owner/attempt_test.go
@@ -15,9 +15,9 @@
 	return &Attempt{Request: Request{Attempt: "a", Repeat: repeat}, Buffer: answer.NewBuffer(), ctx: ctx, cancel: cancel, startedAt: time.Unix(1000, 0)}, ctx
 }
 
-// The queue admits requests that cannot be served in time: the time that a
-// request holds its slot was measured from the last sweep instead of from its
-// start, because the sweep kept its own time in the same field.
+// Guards against a sweep that overwrites an attempt's start time. When the sweep kept its
+// own timestamp in the same field, the time that a request held its slot was measured from
+// the last sweep, and the queue admitted requests that could not be served in time.
 func TestSweepKeepsStartTime(t *testing.T) {
 	a, _ := newRunningAttempt(true)
 	m := attempts{byID: map[string]*Attempt{"a": a}}
@@ -27,8 +27,8 @@
 	assert.Equal(t, a.startedAt, time.Unix(1000, 0))
 }
 
-// Accelerators go on for an entry that has died. An attempt that nobody has
-// read for a while is cancelled, unless it may not be repeated.
+// Guards against accelerators that go on working for an entry that has died: an attempt
+// without a reader for a while is cancelled, unless its request is not repeatable.
 func TestOrphanedAttemptsAreCancelled(t *testing.T) {
 	for _, repeat := range []bool{true, false} {
 		a, ctx := newRunningAttempt(repeat)
@@ -42,14 +42,14 @@
 		sweep(time.Minute)
 		detach()
 		sweep(10 * time.Second)
-		assert.NilError(t, ctx.Err(), "not yet")
+		assert.NilError(t, ctx.Err(), "cancelled before the orphan timeout")
 		sweep(10 * time.Second)
 		assert.Equal(t, ctx.Err() != nil, repeat)
 	}
 }
 
-// An id is known for as long as a late dispatch may arrive; the answer goes
-// sooner.
+// An attempt's ID stays known for as long as a late dispatch may arrive; its answer is
+// released earlier.
 func TestEndedAttemptsExpire(t *testing.T) {
 	a, _ := newRunningAttempt(true)
 	m := attempts{byID: map[string]*Attempt{"a": a}}
@@ -60,7 +60,7 @@
 	m.sweep(now.Add(time.Minute), 30*time.Second, 2*time.Minute, time.Second)
 	assert.Equal(t, a.Buffer.Size(), int64(0))
 	joined, registered := m.register(&Attempt{Request: Request{Attempt: "a"}})
-	assert.Assert(t, !registered && joined == a, "a second sending joins the first")
+	assert.Assert(t, !registered && joined == a, "a second dispatch joins the first attempt")
 	m.sweep(now.Add(3*time.Minute), 30*time.Second, 2*time.Minute, time.Second)
 	_, found := m.get("a")
 	assert.Assert(t, !found)
--- a/coordination/owner/life.go
+++ b/coordination/owner/life.go
@@ -9,16 +9,16 @@
 	"primroseward/core"
 )
 
-// instance is one instance of an endpoint's process, as its owner tells it from others.
+// instance identifies one instance of an endpoint: one lifetime of its process.
 type instance struct {
-	startedAt time.Time // when the owner first knew of it
-	bootID    string    // as the endpoint tells it; empty: not told yet
+	startedAt time.Time // when the owner first detected it
+	bootID    string    // as the endpoint reports it; empty until the first report
 }
 
-// runner names an endpoint's life where runners are spoken of.
+// runner returns the identity of this instance of the endpoint with the given ID.
 func (l instance) runner(id string) core.Runner { return core.Runner{ID: id, Born: l.startedAt} }
 
-// instanceTracker keeps which life of an endpoint is the current one.
+// instanceTracker tracks the current instance of an endpoint.
 type instanceTracker struct {
 	clock  core.Clock
 	mu     sync.Mutex
@@ -31,15 +31,16 @@
 	return l.latest
 }
 
-// exited takes in that nothing listens at the endpoint. One that is asked several times
-// while it is away has still exited once.
+// exited records that nothing listens at the endpoint's address. Several such observations
+// while the endpoint is down still mean one exit.
 func (l *instanceTracker) exited() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.latest = instance{startedAt: l.clock.Now()}
 }
 
-// booted takes in the boot that the endpoint tells of itself.
+// booted records the boot ID that the endpoint reports. A boot ID that differs from the
+// last one means a new instance.
 func (l *instanceTracker) booted(bootID string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -49,8 +50,8 @@
 	l.latest.bootID = bootID
 }
 
-// observe asks the endpoint what it holds, and learns from the answer whether it has
-// started again.
+// observe requests the endpoint's state and detects from the result whether the endpoint
+// has exited or restarted.
 func (r *runner) observe(ctx context.Context) (core.Observation, error) {
 	obs, err := r.endpoint.Observe(ctx)
 	switch {
@@ -62,9 +63,9 @@
 	return obs, err
 }
 
-// Report asks an owned endpoint for its state. It fails with core.ErrNoListener where the
-// process has ended and core.ErrReplaced where another one has taken its place; the
-// report's Born is that of the life that answers.
+// Report requests the state of an owned endpoint. It fails with core.ErrNoListener if the
+// process has exited and with core.ErrReplaced if another instance has replaced it. Born
+// in the report is that of the instance that answered.
 func (m *Manager) Report(ctx context.Context, of *core.Runner) (*core.Report, error) {
 	r := m.runner(of.ID)
 	if r == nil {
--- a/coordination/owner/life_test.go
+++ b/coordination/owner/life_test.go
@@ -12,7 +12,7 @@
 	"primroseward/core"
 )
 
-// observableEndpoint is an endpoint that only tells its state.
+// observableEndpoint is an endpoint that only answers observations.
 type observableEndpoint struct {
 	core.Endpoint
 	bootID string
@@ -23,7 +23,8 @@
 	return core.Observation{Boot: e.bootID}, e.err
 }
 
-// An endpoint's end is missed, or blamed on requests of its next life.
+// Guards against an endpoint's exit that goes unnoticed, or that is attributed to requests
+// of the next instance.
 func TestEndpointRestartIsDetected(t *testing.T) {
 	for _, tt := range []struct {
 		name         string
@@ -31,11 +32,11 @@
 		wantErr      error
 		sameInstance bool
 	}{
-		{"it lives", observableEndpoint{bootID: "a"}, nil, true},
-		{"it tells nothing of itself", observableEndpoint{err: core.ErrNotFound}, nil, true},
+		{"same boot ID", observableEndpoint{bootID: "a"}, nil, true},
+		{"no state interface", observableEndpoint{err: core.ErrNotFound}, nil, true},
 		{"nothing listens", observableEndpoint{err: core.ErrNoListener}, core.ErrNoListener, false},
-		{"it does not answer", observableEndpoint{err: core.ErrUnavailable}, core.ErrUnavailable, true},
-		{"it has started again", observableEndpoint{bootID: "b"}, nil, false},
+		{"no answer", observableEndpoint{err: core.ErrUnavailable}, core.ErrUnavailable, true},
+		{"new boot ID", observableEndpoint{bootID: "b"}, nil, false},
 	} {
 		clock := clockwork.NewFakeClock()
 		e := &observableEndpoint{bootID: "a"}
--- a/coordination/owner/manager.go
+++ b/coordination/owner/manager.go
@@ -1,5 +1,5 @@
-// Package owner serves the endpoints that fall to this daemon: it queues and
-// sends their requests, watches them, and keeps their memory records.
+// Package owner serves the endpoints that are assigned to this daemon: it queues and
+// sends their requests, observes their state, and maintains their memory records.
 package owner
 
 import (
@@ -24,25 +24,25 @@
 	assignInterval          = 250 * time.Millisecond
 	observeInterval         = 500 * time.Millisecond
 	reportInterval          = 500 * time.Millisecond
-	unchangedReportInterval = time.Second // of a report in which nothing is new
+	unchangedReportInterval = time.Second // for a report without changes
 	sweepInterval           = time.Second
-	answerRetention         = 30 * time.Second // of an ended attempt's answer
-	orphanTimeout           = 15 * time.Second // of an attempt that nobody reads
+	answerRetention         = 30 * time.Second // for the answer of an ended attempt
+	orphanTimeout           = 15 * time.Second // for an attempt without a reader
 )
 
-// AttemptLife is how long an attempt's id stays known after its end.
+// AttemptLife is how long an attempt's ID stays known after its end.
 const AttemptLife = 2 * time.Minute
 
-// Connect makes the client of an endpoint.
+// Connect creates the client of an endpoint.
 type Connect func(id string, spec tree.Endpoint) core.Endpoint
 
-// Sender gives reports to the directory's keepers.
+// Sender sends reports to a daemon that keeps entries of the directory.
 type Sender func(ctx context.Context, to core.Member, reports []directory.Report) error
 
-// Finder asks the directory who serves a key.
+// Finder looks up the runners that serve a key in the directory.
 type Finder func(ctx context.Context, key string) []directory.Report
 
-// Manager is the owner role of a daemon.
+// Manager implements the owner role of a daemon.
 type Manager struct {
 	replica     *tree.Replica
 	members     core.Members
@@ -64,7 +64,7 @@
 	mu      sync.Mutex
 	runners map[string]*runner
 	closing map[*runner]struct{}
-	// What the latest assignment was made from; it holds until one changes.
+	// The inputs of the last assignment; it is recomputed when one of them changes.
 	assignedTree       *tree.Tree
 	assignedGeneration uint64
 
@@ -72,28 +72,30 @@
 	stop context.CancelFunc
 }
 
-// Option changes a Manager.
+// Option configures a Manager.
 type Option func(*Manager)
 
-// WithLogger sets the log.
+// WithLogger sets the logger.
 func WithLogger(l *zap.Logger) Option { return func(m *Manager) { m.log = l } }
 
-// WithScope sets where metrics go.
+// WithScope sets the scope of the metrics.
 func WithScope(s tally.Scope) Option { return func(m *Manager) { m.scope = s } }
 
-// WithFresh sets how old the confirmation of the settings is; negative: never
-// confirmed.
+// WithFresh sets the function that returns how long ago the settings were last confirmed;
+// a negative age means never.
 func WithFresh(fn func() time.Duration) Option { return func(m *Manager) { m.settingsAge = fn } }
 
-// WithGuard tells a guard how attempts end at their endpoints.
+// WithGuard sets the quarantine guard, which receives the outcome of attempts and loads at
+// their endpoints.
 func WithGuard(g core.Guard) Option { return func(m *Manager) { m.guard = g } }
 
-// WithDirectory sets how reports are given and found.
+// WithDirectory sets the functions that send reports to the directory and look runners up
+// in it.
 func WithDirectory(s Sender, f Finder) Option {
 	return func(m *Manager) { m.send, m.find = s, f }
 }
 
-// New makes a Manager.
+// New creates a Manager; Start begins its work.
 func New(replica *tree.Replica, members core.Members, platform core.Platform, connect Connect, clock core.Clock, opts ...Option) *Manager {
 	m := &Manager{
 		replica:     replica,
@@ -115,13 +117,13 @@
 		o(m)
 	}
 	m.limits = allowance.NewLimits(clock, m.log, allowance.WithLimitsScope(m.scope))
-	m.limits.Heard(1, 1, nil) // nobody but the owner sends to a runner
+	m.limits.Heard(1, 1, nil) // only the owner sends to a runner, so it has the whole limit
 	m.floors = floors{platform: platform, log: m.log, ready: m.readyRunners}
 	m.weights = weightStore{platform: platform, clock: clock, log: m.log}
 	return m
 }
 
-// Start begins to own.
+// Start begins to assign, report and sweep in the background.
 func (m *Manager) Start() {
 	ctx, cancel := context.WithCancel(context.Background())
 	m.stop = cancel
@@ -131,7 +133,7 @@
 	go m.runSweep(ctx)
 }
 
-// Stop ends all runners after their running attempts.
+// Stop closes all runners and waits until their running attempts have ended.
 func (m *Manager) Stop() {
 	m.stop()
 	m.mu.Lock()
@@ -153,8 +155,8 @@
 	return e, ok
 }
 
-// Of returns the daemon that should own a runner: one of the runner's own
-// place while there is one.
+// Of returns the daemon that should own a runner: one in the runner's own data centre if
+// there is any, else one of all members.
 func Of(members core.Members, id, place string) (core.Member, bool) {
 	if best := members.Rank("runner/"+id, place, 1); len(best) > 0 {
 		return best[0], true
@@ -165,7 +167,7 @@
 	return core.Member{}, false
 }
 
-// runAssign takes and lets go of runners as members and settings change.
+// runAssign acquires and gives up runners as members and settings change.
 func (m *Manager) runAssign(ctx context.Context) {
 	defer m.wg.Done()
 	for {
@@ -210,7 +212,8 @@
 	return ok && owner.Name == self
 }
 
-// closeInBackground ends a runner in the background; m.mu is held.
+// closeInBackground gives up a runner and closes it in the background. The caller holds
+// m.mu.
 func (m *Manager) closeInBackground(id string) {
 	r := m.runners[id]
 	delete(m.runners, id)
@@ -228,7 +231,7 @@
 	delete(m.closing, r)
 }
 
-// runSweep forgets old attempts.
+// runSweep sweeps the attempts at a fixed interval.
 func (m *Manager) runSweep(ctx context.Context) {
 	defer m.wg.Done()
 	for {
@@ -257,7 +260,7 @@
 	return out
 }
 
-// Dispatch begins an attempt, or joins it if its id is known.
+// Dispatch starts an attempt, or joins the existing one if its ID is known.
 func (m *Manager) Dispatch(ctx context.Context, req Request) *Attempt {
 	attemptCtx, cancel := context.WithDeadline(context.Background(), req.Deadline)
 	a, fresh := m.attempts.register(&Attempt{
@@ -283,7 +286,7 @@
 	return a
 }
 
-// Attempt finds an attempt by id.
+// Attempt returns the attempt with an ID, or ErrNotFound.
 func (m *Manager) Attempt(id string) (*Attempt, error) {
 	if a, ok := m.attempts.get(id); ok {
 		return a, nil
@@ -291,9 +294,9 @@
 	return nil, core.ErrNotFound
 }
 
-// Cancel ends an attempt. One that has not arrived is barred: its id is taken
-// by a refused attempt, which a late arrival joins. It returns true if so, and
-// the attempt then provably never runs.
+// Cancel cancels an attempt. If it has not arrived yet, its ID is registered with a
+// refused placeholder, which a late arrival joins. Cancel then returns true: the attempt
+// is certain never to run.
 func (m *Manager) Cancel(id string) bool {
 	ctx, cancel := context.WithCancel(context.Background())
 	placeholder := &Attempt{Request: Request{Attempt: id}, Buffer: answer.NewBuffer(), clock: m.clock, ctx: ctx, cancel: cancel}
@@ -307,7 +310,7 @@
 	return false
 }
 
-// Propose asks for a change of what an owned runner holds.
+// Propose proposes a load or an eviction on an owned runner and waits for the decision.
 func (m *Manager) Propose(ctx context.Context, id string, p Proposal) error {
 	r := m.runner(id)
 	if r == nil || r.ledger == nil {
@@ -319,7 +322,7 @@
 // Running returns how many attempts are in progress.
 func (m *Manager) Running() int { return m.attempts.running() }
 
-// Queued returns how many attempts wait.
+// Queued returns how many attempts wait in queues.
 func (m *Manager) Queued() int {
 	n := 0
 	for _, r := range m.ownedRunners() {
@@ -330,18 +333,18 @@
 	return n
 }
 
-// View is what the planner needs of one runner.
+// View is the state of one runner that the planner needs.
 type View struct {
 	Runner   string
 	Record   ledger.Record
 	Report   directory.Report
 	Capacity int64
-	Missing  bool // does not answer
-	Known    bool // its record has been read
-	Cost     time.Duration
+	Missing  bool          // the endpoint does not answer
+	Known    bool          // its memory record has been read
+	Cost     time.Duration // mean time that a request holds a slot
 }
 
-// Views returns the runners owned here.
+// Views returns the views of all runners owned by this daemon.
 func (m *Manager) Views() []View {
 	var out []View
 	for _, r := range m.ownedRunners() {
@@ -357,8 +360,8 @@
 	return out
 }
 
-// readyRunners returns the runners that serve a model in places where it is
-// allowed.
+// readyRunners returns the runners that serve a model, are not leaving, and are in a data
+// centre that the settings allow for it.
 func (m *Manager) readyRunners(ctx context.Context, model string) []string {
 	t := m.replica.Tree()
 	var out []string
@@ -371,8 +374,8 @@
 	return out
 }
 
-// runReport gives the reports of owned runners to the daemons that keep the
-// directory's entries for their models.
+// runReport sends the reports of owned runners to the daemons that keep the directory
+// entries of their models.
 func (m *Manager) runReport(ctx context.Context) {
 	defer m.wg.Done()
 	for {
@@ -404,22 +407,23 @@
 		go func() {
 			defer wg.Done()
 			if err := m.send(ctx, to[name], batch); err != nil {
-				m.log.Debug("report failed", zap.String("member", name), zap.Error(err))
+				m.log.Debug("sending reports to the directory failed", zap.String("member", name), zap.Error(err))
 			}
 		}()
 	}
 	wg.Wait()
 }
 
-// keepersPerKey is how many daemons keep each entry of the directory.
+// keepersPerKey is how many daemons keep the directory entry of a key.
 const keepersPerKey = 2
 
-// KeepersOf returns the daemons that keep a key's entry.
+// KeepersOf returns the daemons that keep the directory entry of a key.
 func KeepersOf(members core.Members, key string) []core.Member {
 	return members.Rank("dir/"+key, "", keepersPerKey)
 }
 
-// Keepers returns the daemons that keep any of the keys, each once.
+// Keepers returns the daemons that keep the directory entry of at least one of the keys,
+// without duplicates.
 func Keepers(members core.Members, keys []string) []core.Member {
 	seen := map[string]bool{}
 	var out []core.Member
--- a/coordination/owner/orders.go
+++ b/coordination/owner/orders.go
@@ -19,13 +19,13 @@
 const (
 	proposalBuffer = 16
 	resendInterval = time.Second
-	// orderLifetime is the longest time that an order to an endpoint which ignores
-	// fencing numbers is assumed to be under way. docs/GUARANTEES.md says what
-	// rests on it.
+	// orderLifetime is the longest time that an order is assumed to be in transit to an
+	// endpoint that ignores fencing numbers. docs/GUARANTEES.md lists the guarantees that
+	// depend on it.
 	orderLifetime = 30 * time.Second
 )
 
-// Proposal asks for a change of what a runner holds.
+// Proposal is a requested load or eviction of a model on a runner.
 type Proposal struct {
 	Kind    core.OrderKind
 	Model   string
@@ -38,13 +38,14 @@
 	reply chan error
 }
 
+// timedObservation is an observation and the time at which it was requested.
 type timedObservation struct {
 	obs         core.Observation
 	requestedAt time.Time
 }
 
-// ledgerKeeper holds one runner's memory record: it alone writes it for this
-// daemon and sends the orders that it authorises.
+// ledgerKeeper maintains one runner's memory record. Within this daemon only it writes the
+// record and sends the orders that the record authorises.
 type ledgerKeeper struct {
 	r            *runner
 	observations chan timedObservation
@@ -52,12 +53,12 @@
 	log          *zap.Logger
 	clock        core.Clock
 
-	// Held by run.
-	object        core.Object // of the record as last read or written
+	// Used only by run.
+	object        core.Object // holds the record as last read or written
 	recordValid   bool
 	recordReadAt  time.Time
-	sentAt        map[string]time.Time // by model@version
-	loadInstances map[string]instance  // of the endpoint when a load was last sent, the same
+	sentAt        map[string]time.Time // time of the last order, by model@version
+	loadInstances map[string]instance  // instance to which a load was last sent, by model@version
 
 	mu     sync.Mutex // guards record
 	record ledger.Record
@@ -75,8 +76,8 @@
 	}
 }
 
-// offerObservation hands over the newest observation; an older one still waiting is
-// replaced.
+// offerObservation passes the newest observation to run and replaces an older one that is
+// still waiting.
 func (k *ledgerKeeper) offerObservation(o core.Observation, requestedAt time.Time) {
 	select {
 	case <-k.observations:
@@ -88,13 +89,13 @@
 	}
 }
 
-// propose asks for a change and waits for the decision.
+// propose submits a proposal and waits for the decision.
 func (k *ledgerKeeper) propose(ctx context.Context, p Proposal) error {
 	pending := proposal{Proposal: p, reply: make(chan error, 1)}
 	select {
 	case k.proposals <- pending:
 	default:
-		return eris.Wrap(core.ErrUnavailable, "too many proposals wait")
+		return eris.Wrap(core.ErrUnavailable, "too many proposals are pending")
 	}
 	select {
 	case err := <-pending.reply:
@@ -104,8 +105,8 @@
 	}
 }
 
-// evictingOnlyVersion says whether a model gets no new work because its only version here
-// is about to be evicted.
+// evictingOnlyVersion reports whether a model gets no new requests because its only
+// version on this runner is about to be evicted.
 func (k *ledgerKeeper) evictingOnlyVersion(model string) bool {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -136,7 +137,8 @@
 	}
 }
 
-// capacity is what models may fill.
+// capacity returns the memory available to models, and whether the settings list the
+// runner.
 func (k *ledgerKeeper) capacity() (int64, bool) {
 	spec, ok := k.r.mgr.spec(k.r.id)
 	return int64(spec.Memory - spec.Cache), ok
@@ -147,7 +149,8 @@
 	return ledger.Rules{Fenced: spec.Fenced, Lifetime: orderLifetime}
 }
 
-// processObservation settles the record by an observation and sends what is pending.
+// processObservation settles the record with an observation and sends the pending orders.
+// An observation that was requested before the record was read is ignored.
 func (k *ledgerKeeper) processObservation(ctx context.Context, s timedObservation) {
 	k.reportExits()
 	if !k.loadRecord(ctx) || s.requestedAt.Before(k.recordReadAt) {
@@ -167,7 +170,8 @@
 	k.sendPending(ctx, s.obs, rules)
 }
 
-// loadRecord reads the record and makes this daemon its owner.
+// loadRecord reads the record, if it is not valid here already, and makes this daemon its
+// owner.
 func (k *ledgerKeeper) loadRecord(ctx context.Context) bool {
 	if k.recordValid {
 		return true
@@ -177,7 +181,7 @@
 	switch {
 	case err == nil:
 		if json.Unmarshal(o.Body, &rec) != nil {
-			k.log.Error("memory record cannot be read; nothing is loaded or evicted here")
+			k.log.Error("memory record cannot be decoded; the runner gets no loads or evictions")
 			return false
 		}
 	case errors.Is(err, core.ErrNotFound):
@@ -202,13 +206,15 @@
 	k.recordReadAt = k.clock.Now()
 }
 
-// writeRecord replaces the record by a conditional update. Any failure makes the
-// next step read it again: another owner wrote it, or this writeRecord may yet take
-// effect unseen.
+// writeRecord replaces the record by a conditional update. After any failure the next step
+// reads the record again, because another owner may have written it or this write may
+// still take effect.
 func (k *ledgerKeeper) writeRecord(ctx context.Context, next ledger.Record) error {
 	return k.writeRecordOver(ctx, k.object, next)
 }
 
+// writeRecordOver writes the record as the successor of o, or creates it if o has no
+// version.
 func (k *ledgerKeeper) writeRecordOver(ctx context.Context, o core.Object, next ledger.Record) error {
 	body, err := json.Marshal(next)
 	if err != nil {
@@ -229,8 +235,9 @@
 	return nil
 }
 
-// afterSettle gives back load slots and marks of evictions that have ended,
-// and sees to it that each ready model has a pinned replica.
+// afterSettle releases the store slots of finished loads, clears the marks of finished
+// evictions, reports successful loads to the guard, and ensures that each model that
+// became ready has a pinned replica.
 func (k *ledgerKeeper) afterSettle(ctx context.Context, before ledger.Record) {
 	for _, e := range before.Entries {
 		i := k.record.Find(e.Model, e.Version)
@@ -252,15 +259,16 @@
 	}
 }
 
+// loadID identifies a load in the slots of the weight store.
 func (k *ledgerKeeper) loadID(model, version string) string {
 	return k.r.id + "/" + orderKey(model, version)
 }
 
-// orderKey names what an order is for, on one runner.
+// orderKey identifies the target of an order on one runner.
 func orderKey(model, version string) string { return model + "@" + version }
 
-// sendPending sends the orders that the record authorises and the endpoint has
-// not yet carried out.
+// sendPending sends the orders that the record authorises and the endpoint has not carried
+// out yet.
 func (k *ledgerKeeper) sendPending(ctx context.Context, obs core.Observation, rules ledger.Rules) {
 	for _, e := range k.record.Entries {
 		key := orderKey(e.Model, e.Version)
@@ -278,9 +286,10 @@
 	}
 }
 
-// send sends one order. A daemon that stood still between the record's write
-// and here must not send: the entry may long have been settled by another
-// owner, and an endpoint that ignores fencing numbers would carry it out.
+// send sends one order, unless the send window of its entry is over. A daemon that was
+// suspended after it wrote the record must not send: another owner may have settled the
+// entry since, and an endpoint that ignores fencing numbers would still carry the order
+// out.
 func (k *ledgerKeeper) send(ctx context.Context, e ledger.Entry) {
 	if !e.MaySend(k.clock.Now()) {
 		return
@@ -295,12 +304,15 @@
 		k.recordValid = false
 	case err != nil:
 		if e.State == ledger.Loading && !errors.Is(err, core.ErrNoListener) {
-			k.reportExit(e) // asked at once: it may be back under the same boot before it is observed
+			// Reported at once: the endpoint may be back under the same boot ID before
+			// the next observation.
+			k.reportExit(e)
 		}
-		k.log.Info("order is unanswered", zap.String("model", e.Model), zap.String("state", string(e.State)), zap.Error(err))
+		k.log.Info("order was not acknowledged", zap.String("model", e.Model), zap.String("state", string(e.State)), zap.Error(err))
 	}
 }
 
+// isIdle reports whether no request of a model runs on the runner.
 func (k *ledgerKeeper) isIdle(ctx context.Context, model string) bool {
 	reply := make(chan int, 1)
 	k.r.send(countModel{model, reply})
@@ -312,18 +324,19 @@
 	}
 }
 
-// loadDigest stands for the load of a model where requests are held back.
+// loadDigest returns the digest under which the quarantine records loads of a model.
 func (k *ledgerKeeper) loadDigest(model string) core.Digest {
 	return core.LoadDigest(k.r.mgr.replica.Tree().ServiceOf(model), model)
 }
 
-// loadHoldLeft is how long a model is not to be loaded, as endpoints that were ordered to
-// have ended.
+// loadHoldLeft returns for how long loads of a model are still held because endpoints
+// exited during them, or 0.
 func (k *ledgerKeeper) loadHoldLeft(model string) time.Duration {
 	return k.r.mgr.guard.Held(k.loadDigest(model))
 }
 
-// reportExits tells the guard of loads whose endpoint has ended since they were sent.
+// reportExits reports to the guard the loads whose endpoint has exited since they were
+// sent.
 func (k *ledgerKeeper) reportExits() {
 	for _, e := range k.record.Entries {
 		if sentTo, ok := k.loadInstances[orderKey(e.Model, e.Version)]; ok && !sentTo.startedAt.Equal(k.r.instances.current().startedAt) {
@@ -332,8 +345,8 @@
 	}
 }
 
-// reportExit tells the guard that the endpoint may have ended under a load, once for each
-// time that it was sent.
+// reportExit reports to the guard that the endpoint may have exited during a load, at most
+// once for each time that the load was sent.
 func (k *ledgerKeeper) reportExit(e ledger.Entry) {
 	key := orderKey(e.Model, e.Version)
 	sentTo := k.loadInstances[key]
@@ -341,7 +354,8 @@
 	k.r.mgr.guard.Broke(core.BrokenLoad(k.r.mgr.replica.Tree().ServiceOf(e.Model), e.Model, sentTo.runner(k.r.id)))
 }
 
-// decide carries out a proposal as far as the record; the order follows.
+// decide accepts or rejects a proposal. An accepted one is written to the record before
+// its order is sent.
 func (k *ledgerKeeper) decide(ctx context.Context, p Proposal) error {
 	if !k.loadRecord(ctx) {
 		return eris.Wrap(core.ErrUnavailable, "the memory record cannot be read")
@@ -360,13 +374,13 @@
 		return core.ErrNotFound
 	}
 	if _, ok := t.Allowed(tree.Coord{Service: t.ServiceOf(p.Model), Model: p.Model, Place: spec.Place}); !ok {
-		return eris.Wrap(core.ErrInvalid, "the model is not allowed in this place")
+		return eris.Wrap(core.ErrInvalid, "settings do not allow the model in this data centre")
 	}
 	if m.Base != "" && !k.record.HasReady(m.Base) {
-		return eris.Wrap(core.ErrInvalid, "the adapter's base is not ready here")
+		return eris.Wrap(core.ErrInvalid, "the adapter's base model is not ready on this runner")
 	}
 	if left := k.loadHoldLeft(p.Model); left > 0 {
-		return eris.Wrapf(core.ErrUnavailable, "endpoints have ended under loads of the model; held back for %v", left)
+		return eris.Wrapf(core.ErrUnavailable, "endpoints exited while loading the model; loads are held for another %v", left)
 	}
 	capacity, _ := k.capacity()
 	e := ledger.Entry{Model: p.Model, Version: p.Version, Bytes: int64(m.Memory), Reason: p.Reason}
@@ -390,7 +404,7 @@
 	t := k.r.mgr.replica.Tree()
 	for _, e := range k.record.Entries {
 		if m, ok := t.Model(e.Model); ok && m.Base == p.Model && p.Model != "" {
-			return eris.Wrap(core.ErrConflict, "adapters on it are loaded")
+			return eris.Wrap(core.ErrConflict, "adapters of the model are loaded")
 		}
 	}
 	next, err := k.record.Evict(p.Model, p.Version, p.Reason, k.object.Version, k.clock.Now())
@@ -413,7 +427,7 @@
 	return nil
 }
 
-// sendNewLoad sends a new load's order without waiting for the next observation.
+// sendNewLoad sends the order of a new load without waiting for the next observation.
 func (k *ledgerKeeper) sendNewLoad(ctx context.Context, p Proposal) {
 	if i := k.record.Find(p.Model, p.Version); i >= 0 {
 		k.sentAt[orderKey(p.Model, p.Version)] = k.clock.Now()
--- a/coordination/owner/runner.go
+++ b/coordination/owner/runner.go
@@ -19,17 +19,17 @@
 const (
 	inboxSize        = 1024
 	tickInterval     = 250 * time.Millisecond
-	initialCost      = 500 * time.Millisecond // of a request, until one has ended
-	costWeight       = 0.2                    // of the newest request in the mean
-	unreachableAfter = 3                      // observations in a row
+	initialCost      = 500 * time.Millisecond // assumed mean until a request has ended
+	costWeight       = 0.2                    // weight of the newest request in the moving mean
+	unreachableAfter = 3                      // consecutive failed observations
 	minRetryAfter    = time.Second
 )
 
 // event is a message to a runner's loop.
 type event interface{ apply(r *runner) }
 
-// runner is one endpoint that this daemon owns. Its loop holds all of its
-// state; other goroutines send it events through a bounded ring.
+// runner is an endpoint that this daemon owns. Its state belongs to its loop; other
+// goroutines send the loop events through a bounded channel.
 type runner struct {
 	id       string
 	addr     string
@@ -42,28 +42,28 @@
 	ctx      context.Context
 	wg       sync.WaitGroup
 
-	// Held by the loop.
+	// Used only by the loop.
 	spec          tree.Endpoint
 	queue         *queue.Queue
 	running       map[string]*Attempt
 	perModel      map[string]int
-	cost          time.Duration
-	ready         map[string]bool // models observed ready
-	leaving       bool            // the endpoint says so itself
+	cost          time.Duration   // moving mean of the time that a request holds a slot
+	ready         map[string]bool // models that the last observation reported as ready
+	leaving       bool            // reported by the endpoint itself
 	misses        int
-	everObserved  bool      // observed at least once
-	observedStart time.Time // of the endpoint's life that was observed last
+	everObserved  bool      // at least one observation succeeded
+	observedStart time.Time // start of the instance that was observed last
 	released      bool
 
-	inboxMu     sync.RWMutex // guards over
+	inboxMu     sync.RWMutex // guards inboxClosed
 	inboxClosed bool         // the loop takes no more events
 
 	mu          sync.Mutex // guards what follows
 	report      directory.Report
-	lastReport  directory.Report // to the directory, last
+	lastReport  directory.Report // last report sent to the directory
 	unreachable bool
 	instances   instanceTracker
-	// meanCost is a copy of cost for readers outside the loop.
+	// meanCost is a copy of cost for other goroutines.
 	meanCost time.Duration
 }
 
@@ -98,9 +98,9 @@
 	return r
 }
 
-// trySend sends an event; false when the ring is full or the runner has ended. An
-// event that were left in the ring of an ended loop would leave its caller
-// waiting until its deadline.
+// trySend sends an event. It returns false if the channel is full or the loop has ended,
+// because the sender of an event left in the channel of an ended loop would wait until its
+// deadline.
 func (r *runner) trySend(e event) bool {
 	r.inboxMu.RLock()
 	defer r.inboxMu.RUnlock()
@@ -115,7 +115,8 @@
 	}
 }
 
-// send sends an event that may not be dropped.
+// send sends an event that must not be dropped. It blocks while the channel is full, until
+// the runner is stopped.
 func (r *runner) send(e event) {
 	select {
 	case r.inbox <- e:
@@ -141,7 +142,8 @@
 	}
 }
 
-// closeInbox refuses what waits and what still came in.
+// closeInbox closes the inbox, processes the events that are still in it and refuses all
+// queued requests.
 func (r *runner) closeInbox() {
 	r.inboxMu.Lock()
 	r.inboxClosed = true
@@ -152,13 +154,14 @@
 		case e := <-r.inbox:
 			e.apply(r)
 		default:
-			r.refuseQueued("runner_released", "the runner has another owner now")
+			r.refuseQueued("runner_released", "this daemon no longer owns the runner")
 			return
 		}
 	}
 }
 
-// tick gives up requests whose time is over and starts what can start.
+// tick reads the endpoint's settings again and starts the queued requests for which there
+// are slots.
 func (r *runner) tick() {
 	if spec, ok := r.mgr.spec(r.id); ok {
 		r.spec = spec
@@ -166,7 +169,7 @@
 	r.startWaiting()
 }
 
-// enqueue asks for a slot.
+// enqueue submits an attempt to the queue, after admission.
 type enqueue struct{ attempt *Attempt }
 
 func (e enqueue) apply(r *runner) {
@@ -178,12 +181,12 @@
 	now := r.mgr.clock.Now()
 	item := &queue.Item{ID: a.Attempt, Class: a.Class, Retry: a.Retry, Deadline: now.Add(r.targetLatency(a)), Cost: r.cost, Value: a}
 	r.queue.Push(item, now)
-	// A request whose deadline ends while it waits is answered then and there.
+	// A request whose deadline passes in the queue is answered immediately.
 	a.stopDeadlineWatch = context.AfterFunc(a.ctx, func() { r.send(abandon{a}) })
 	r.startWaiting()
 }
 
-// startWaiting starts waiting requests while there are slots.
+// startWaiting starts queued requests while there are free slots.
 func (r *runner) startWaiting() {
 	for len(r.running) < max(1, r.spec.Slots) {
 		item := r.queue.Pop(r.mgr.clock.Now())
@@ -211,7 +214,7 @@
 	a.startedAt = r.mgr.clock.Now()
 	a.instance = r.instances.current()
 	if !a.tookToken {
-		r.mgr.limits.Charge(r.id) // was admitted before the endpoint named its limit
+		r.mgr.limits.Charge(r.id) // admitted before the endpoint published its limit
 	}
 	a.onResume = func() { r.mgr.limits.Charge(r.id) }
 	a.onHeader = func(h http.Header) {
@@ -223,13 +226,13 @@
 	go a.run(r.mgr.guard, r.attemptEnded)
 }
 
-// attemptEnded is called by an attempt's own goroutine.
+// attemptEnded is called from the attempt's own goroutine.
 func (r *runner) attemptEnded(a *Attempt) {
 	defer r.wg.Done()
 	r.send(freeSlot{attempt: a, took: r.mgr.clock.Since(a.startedAt)})
 }
 
-// freeSlot frees a slot.
+// freeSlot frees the slot of an attempt that has ended.
 type freeSlot struct {
 	attempt *Attempt
 	took    time.Duration
@@ -247,8 +250,8 @@
 	r.startWaiting()
 }
 
-// abandon takes out a waiting request whose deadline is over or whose caller
-// has gone.
+// abandon removes a queued request whose deadline has passed or whose caller has
+// disconnected.
 type abandon struct{ attempt *Attempt }
 
 func (e abandon) apply(r *runner) {
@@ -258,10 +261,10 @@
 }
 
 func errNotSentInTime() *core.RequestError {
-	return core.NotRun(http.StatusGatewayTimeout, "deadline", "the request's time ended before it was sent", minRetryAfter)
+	return core.NotRun(http.StatusGatewayTimeout, "deadline", "the request was not sent before its deadline", minRetryAfter)
 }
 
-// observation is one answer, or none, to the question what the endpoint holds.
+// observation is the result of one request for the endpoint's state.
 type observation struct {
 	obs core.Observation
 	err error
@@ -270,7 +273,7 @@
 func (e observation) apply(r *runner) {
 	if current := r.instances.current(); !current.startedAt.Equal(r.observedStart) {
 		r.observedStart = current.startedAt
-		r.mgr.limits.Forget(r.id) // was another process's
+		r.mgr.limits.Forget(r.id) // the limit was that of another instance
 	}
 	if e.err != nil {
 		r.misses++
@@ -290,30 +293,30 @@
 		}
 	}
 	if r.isLeaving() {
-		r.refuseQueued("runner_leaving", "the endpoint takes no new work")
+		r.refuseQueued("runner_leaving", "the endpoint accepts no new requests")
 	}
 	r.startWaiting()
 }
 
-// refuseQueued sends the waiting requests back so that their entries find another
-// runner; what runs goes on.
+// refuseQueued refuses all queued requests, so that their entries choose another runner.
+// Running requests continue.
 func (r *runner) refuseQueued(code, message string) {
 	for _, item := range r.queue.Drain() {
 		r.refuse(item.Value.(*Attempt), core.NotRun(http.StatusServiceUnavailable, code, message, minRetryAfter))
 	}
 }
 
-// releaseOwnership ends the runner's ownership: nothing new starts, what runs ends in
-// its own time.
+// releaseOwnership ends the ownership of the runner: no new request starts, running ones
+// continue to their end.
 type releaseOwnership struct{}
 
 func (releaseOwnership) apply(r *runner) {
 	r.released = true
-	r.refuseQueued("runner_released", "the runner has another owner now")
+	r.refuseQueued("runner_released", "this daemon no longer owns the runner")
 }
 
-// countModel asks how many requests of a model run; the ledger waits for none before
-// it orders an eviction.
+// countModel counts the running requests of a model. An eviction is ordered only when
+// there are none.
 type countModel struct {
 	model string
 	reply chan int
@@ -321,7 +324,7 @@
 
 func (e countModel) apply(r *runner) { e.reply <- r.perModel[e.model] }
 
-// runObserve asks the endpoint what it holds, again and again.
+// runObserve observes the endpoint at a fixed interval.
 func (r *runner) runObserve() {
 	defer r.wg.Done()
 	for {
@@ -331,7 +334,7 @@
 			return
 		}
 		if errors.Is(err, core.ErrNotFound) && r.kind == tree.KindPlain {
-			err = nil // plain services need not report anything
+			err = nil // plain services need not implement the state interface
 		}
 		r.send(observation{obs, err})
 		if r.ledger != nil && err == nil {
@@ -345,7 +348,8 @@
 	}
 }
 
-// updateReport makes the runner's report for the directory.
+// updateReport updates the runner's report for the directory. The report lists no models
+// and no service while the endpoint has not been observed, is unreachable or is released.
 func (r *runner) updateReport() {
 	rep := directory.Report{
 		Runner:  r.id,
@@ -377,8 +381,8 @@
 	r.mu.Unlock()
 }
 
-// reportIfDue returns the runner's report, and whether it should be given to the
-// directory now: it has changed, or the last one given is a while old.
+// reportIfDue returns the runner's report and whether it should be sent to the directory
+// now: it has changed, or the last one was sent at least unchangedReportInterval before.
 func (r *runner) reportIfDue() (directory.Report, bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -392,7 +396,7 @@
 	return rep, due
 }
 
-// close ends the runner after its running attempts.
+// close releases the runner and stops it once its running attempts have ended.
 func (r *runner) close() {
 	r.send(releaseOwnership{})
 	for {
@@ -412,7 +416,7 @@
 	}
 }
 
-// countRunning asks how many attempts run.
+// countRunning counts the running attempts.
 type countRunning struct{ reply chan int }
 
 func (e countRunning) apply(r *runner) { e.reply <- len(r.running) }
--- a/coordination/owner/shared.go
+++ b/coordination/owner/shared.go
@@ -17,20 +17,20 @@
 
 const (
 	storeName = "weights"
-	// minLoadSlotTTL is how long a load keeps its slot of the weight store when
-	// nobody reports its end.
+	// minLoadSlotTTL is the minimum time for which a load keeps its slot of the weight
+	// store if its end is never reported.
 	minLoadSlotTTL     = time.Minute
 	maxConflictRetries = 4
 )
 
-// updateObject reads an object's body, lets fn make the next one and writes it by a
-// conditional update, again after lost races. fn returns false to write
-// nothing.
+// updateObject reads an object, passes its body to fn and writes the result by a
+// conditional update. It starts over when another writer was first, at most
+// maxConflictRetries times. If fn returns false, nothing is written.
 func updateObject[T any](ctx context.Context, p core.Platform, kind, name string, fn func(T) (T, bool, error)) error {
 	for retries := 0; ; retries++ {
 		err := updateObjectOnce(ctx, p, kind, name, fn)
 		if errors.Is(err, core.ErrOvertaken) {
-			return nil // written, and what followed was made from it
+			return nil // the write took effect, and a later one was based on it
 		}
 		conflict := errors.Is(err, core.ErrConflict) || errors.Is(err, core.ErrExists)
 		if !conflict || retries == maxConflictRetries {
@@ -67,15 +67,15 @@
 	return err
 }
 
-// floors guards each model's last replica through one object per model.
+// floors protects the last replica of each model through one platform object per model.
 type floors struct {
 	platform core.Platform
 	log      *zap.Logger
-	// ready returns the runners that serve a model now, as reported.
+	// ready returns the runners that currently serve a model, according to their reports.
 	ready func(ctx context.Context, model string) []string
 }
 
-// ensurePin pins a ready replica if the pinned one is not seen ready.
+// ensurePin pins a ready replica, unless the pinned one is reported ready.
 func (f *floors) ensurePin(ctx context.Context, model, runner string) {
 	seen := f.ready(ctx, model)
 	err := updateObject(ctx, f.platform, core.KindFloor, model, func(body ledger.Floor) (ledger.Floor, bool, error) {
@@ -86,12 +86,13 @@
 		return next, err == nil, err
 	})
 	if err != nil {
-		f.log.Warn("pin of a model failed", zap.String("model", model), zap.Error(err))
+		f.log.Warn("pinning a replica failed", zap.String("model", model), zap.Error(err))
 	}
 }
 
-// beginEviction asks for a runner's replica to be evicted. Where it is the pinned one,
-// another that is seen ready is pinned in the same write.
+// beginEviction records that a runner's replica may be evicted. If that replica is the
+// pinned one, or the pinned one is not reported ready, another replica that is reported
+// ready is pinned in the same write.
 func (f *floors) beginEviction(ctx context.Context, model, runner string) error {
 	seen := f.ready(ctx, model)
 	return updateObject(ctx, f.platform, core.KindFloor, model, func(body ledger.Floor) (ledger.Floor, bool, error) {
@@ -111,7 +112,7 @@
 	})
 }
 
-// endEviction forgets an eviction that has ended or was not begun.
+// endEviction removes the mark of an eviction that has ended or was not started.
 func (f *floors) endEviction(ctx context.Context, model, runner string) {
 	err := updateObject(ctx, f.platform, core.KindFloor, model, func(body ledger.Floor) (ledger.Floor, bool, error) {
 		if !slices.Contains(body.Evicting, runner) {
@@ -120,18 +121,20 @@
 		return body.Done(runner), true, nil
 	})
 	if err != nil {
-		f.log.Warn("end of an eviction is not recorded", zap.String("model", model), zap.Error(err))
+		f.log.Warn("recording the end of an eviction failed", zap.String("model", model), zap.Error(err))
 	}
 }
 
-// weightStore is the shared budget of the weight store.
+// weightStore limits the loads from the weight store, across all daemons, to its slots and
+// its rate.
 type weightStore struct {
 	platform core.Platform
 	clock    core.Clock
 	log      *zap.Logger
 }
 
-// reserve reserves a load; ErrUnavailable means that none is free now.
+// reserve reserves a slot for a load. ErrUnavailable means that no slot is free now or
+// that the rate is used up.
 func (w *weightStore) reserve(ctx context.Context, id string, limits tree.Store, load time.Duration) error {
 	return updateObject(ctx, w.platform, core.KindStore, storeName, func(s ledger.Slots) (ledger.Slots, bool, error) {
 		next, wait := s.Take(id, w.clock.Now(), max(minLoadSlotTTL, 3*load), limits.Rate, limits.Slots)
@@ -142,13 +145,13 @@
 	})
 }
 
-// release gives a load's slot back.
+// release frees the slot of a load.
 func (w *weightStore) release(ctx context.Context, id string) {
 	err := updateObject(ctx, w.platform, core.KindStore, storeName, func(s ledger.Slots) (ledger.Slots, bool, error) {
 		next, changed := s.Release(id)
 		return next, changed, nil
 	})
 	if err != nil {
-		w.log.Info("slot of the weight store is kept until it ends by time", zap.String("load", id), zap.Error(err))
+		w.log.Info("slot of the weight store was not released; it stays taken until it expires", zap.String("load", id), zap.Error(err))
 	}
 }
--- a/coordination/route/budget.go
+++ b/coordination/route/budget.go
@@ -8,33 +8,33 @@
 )
 
 const (
-	retryShare = 0.1 // of first tries
+	retryShare = 0.1 // of first attempts
 	retryBurst = 10
-	// penaltyStep is added to a runner's cost for each failed attempt and
-	// halves every penaltyHalf, so that it is probed back slowly.
+	// penaltyStep is added to a runner's cost for each failed attempt. The penalty halves
+	// every penaltyHalfLife, so that requests return to the runner slowly.
 	penaltyStep     = 500 * time.Millisecond
 	penaltyHalfLife = 2 * time.Second
 	maxPenalty      = 10 * time.Second
 )
 
-// Budget bounds retries to a share of first tries. Without it a failing place
-// doubles the load on the places that are left just when they are full.
+// Budget bounds retries to a share of first attempts. Without it, a failing data centre
+// would double the load on the remaining ones just when they are full.
 type Budget struct {
 	mu     sync.Mutex
 	tokens float64
 }
 
-// NewBudget returns a budget that allows a first burst.
+// NewBudget returns a budget that starts with retryBurst retries.
 func NewBudget() *Budget { return &Budget{tokens: retryBurst} }
 
-// First counts a first try.
+// First counts a first attempt, which adds retryShare of a retry to the budget.
 func (b *Budget) First() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.tokens = min(b.tokens+retryShare, retryBurst)
 }
 
-// Retry takes a token; false when there is none.
+// Retry takes one retry from the budget; it returns false if there is none.
 func (b *Budget) Retry() bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -45,7 +45,7 @@
 	return true
 }
 
-// Health remembers which runners failed lately.
+// Health keeps a penalty for each runner with recent failures.
 type Health struct {
 	clock core.Clock
 	mu    sync.Mutex
@@ -57,12 +57,12 @@
 	markedAt time.Time
 }
 
-// NewHealth returns a Health without marks.
+// NewHealth returns a Health without penalties.
 func NewHealth(clock core.Clock) *Health {
 	return &Health{clock: clock, marks: map[string]mark{}}
 }
 
-// Failed marks a runner.
+// Failed raises a runner's penalty by penaltyStep, up to maxPenalty.
 func (h *Health) Failed(runner string) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -71,14 +71,14 @@
 	h.marks[runner] = mark{penalty: penalty, markedAt: now}
 }
 
-// Worked clears a runner's mark.
+// Worked clears a runner's penalty.
 func (h *Health) Worked(runner string) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	delete(h.marks, runner)
 }
 
-// Penalty is what is left of a runner's mark.
+// Penalty returns what remains of a runner's penalty.
 func (h *Health) Penalty(runner string) time.Duration {
 	h.mu.Lock()
 	defer h.mu.Unlock()
--- a/coordination/route/choose.go
+++ b/coordination/route/choose.go
@@ -1,5 +1,5 @@
-// Package route decides which runner serves a request and whether a failed
-// attempt may be tried again. Its decisions are pure.
+// Package route decides which runner serves a request and whether a failed attempt may
+// be retried. It does no I/O.
 package route
 
 import (
@@ -13,12 +13,14 @@
 )
 
 const (
-	// otherDataCentreCost is what a request to another place costs, both ways.
+	// otherDataCentreCost is the cost of sending a request to another data centre: the
+	// round trip.
 	otherDataCentreCost = 3 * time.Millisecond
-	// costPerQueued is what one request more than there are slots costs, until an
-	// owner's report says better.
+	// costPerQueued is the cost of each request beyond the number of slots, until the
+	// owner's next report gives the actual wait.
 	costPerQueued = 50 * time.Millisecond
-	// prefillSavedPerKB is what a cached kilobyte of prompt saves, roughly.
+	// prefillSavedPerKB is the approximate prefill time that each cached kilobyte of the
+	// prompt saves.
 	prefillSavedPerKB = 2 * time.Millisecond
 	maxPrefixBytes    = 32 << 10
 	// tieTolerance is the difference below which candidates count as equal, so that
@@ -29,17 +31,17 @@
 // Candidate is a runner that may serve a request.
 type Candidate struct {
 	directory.Report
-	Sent    int           // dispatched from here since the report was made
-	Penalty time.Duration // for lately failed attempts
+	Sent    int           // requests dispatched by this daemon since the report was made
+	Penalty time.Duration // for recently failed attempts
 }
 
-// Ask is what a choice depends on besides the candidates.
+// Ask holds the properties of a request on which the choice depends.
 type Ask struct {
-	Place  string // of the entry
+	Place  string // data centre of the entry
 	Prefix []byte // start of the prompt, for the engines' prefix caches
 }
 
-// Cost is the expected time to first byte at a candidate beyond the prefill.
+// Cost returns the expected time to first byte at a candidate, without the prefill.
 func (a Ask) Cost(c *Candidate) time.Duration {
 	cost := c.Wait + c.Penalty
 	if c.Place != a.Place {
@@ -51,10 +53,10 @@
 	return cost
 }
 
-// Choose returns the index of the best candidate, or -1 when there is none.
-// The runner that the prompt's prefix hashes to is preferred by the prefill
-// that its cache is likely to save: no cache event is needed for that, and
-// what is lost with a late or missing event is only time.
+// Choose returns the index of the best candidate, or -1 if there is none. The runner that
+// the prompt's prefix hashes to is preferred: its cost is reduced by the prefill time that
+// its cache is likely to save. This needs no cache events from the engines, and a wrong
+// guess costs only time.
 func (a Ask) Choose(candidates []Candidate) int {
 	if len(candidates) == 0 {
 		return -1
@@ -83,7 +85,8 @@
 	return ties[rand.IntN(len(ties))]
 }
 
-// cachedAt is the candidate that the prefix hashes to, or -1.
+// cachedAt returns the index of the candidate that the prefix hashes to (rendezvous
+// hashing), or -1 without a prefix.
 func (a Ask) cachedAt(candidates []Candidate) int {
 	if len(a.Prefix) == 0 {
 		return -1
--- a/coordination/route/route_test.go
+++ b/coordination/route/route_test.go
@@ -25,12 +25,12 @@
 		candidates []Candidate
 		want       int
 	}{
-		{"none", nil, -1},
-		{"least wait", []Candidate{candidate("r1", "a", time.Second, 4), candidate("r2", "a", 0, 0)}, 1},
-		{"own place", []Candidate{candidate("r1", "b", 0, 0), candidate("r2", "a", 0, 0)}, 1},
-		{"other place when busy here", []Candidate{candidate("r1", "a", time.Second, 4), candidate("r2", "b", 0, 0)}, 1},
-		{"failed lately", []Candidate{failed, candidate("r2", "b", 0, 0)}, 1},
-		{"sent to since the report", []Candidate{sent, candidate("r2", "a", 0, 0)}, 1},
+		{"no candidates", nil, -1},
+		{"shortest wait", []Candidate{candidate("r1", "a", time.Second, 4), candidate("r2", "a", 0, 0)}, 1},
+		{"own data centre", []Candidate{candidate("r1", "b", 0, 0), candidate("r2", "a", 0, 0)}, 1},
+		{"other data centre when the own one is busy", []Candidate{candidate("r1", "a", time.Second, 4), candidate("r2", "b", 0, 0)}, 1},
+		{"recent failure", []Candidate{failed, candidate("r2", "b", 0, 0)}, 1},
+		{"requests sent since the report", []Candidate{sent, candidate("r2", "a", 0, 0)}, 1},
 	}
 	for _, tt := range cases {
 		got := Ask{Place: "a"}.Choose(tt.candidates)
@@ -59,7 +59,8 @@
 	assert.Equal(t, len(seen), 2)
 }
 
-// Failing requests would double the load on what is left of a system.
+// Guards against retries that double the load on the rest of a system in which requests
+// fail.
 func TestRetriesAreBoundedByBudget(t *testing.T) {
 	b := NewBudget()
 	retries := 0
