--- a/coordination/claim/claim.go
+++ b/coordination/claim/claim.go
@@ -156,7 +156,7 @@
 		case <-ctx.Done():
 			return
 		case r := <-c.releases:
-			if !c.release(ctx, r.claim) {
+			if !c.tryRelease(ctx, r.claim) {
 				pending = append(pending, r)
 			}
 		case <-c.clock.After(releaseInterval):
@@ -171,17 +171,18 @@
 	var left []pendingRelease
 	for _, r := range pending {
 		r.retries++
-		if !c.release(ctx, r.claim) && r.retries < maxReleaseRetries {
+		if !c.tryRelease(ctx, r.claim) && r.retries < maxReleaseRetries {
 			left = append(left, r)
 		}
 	}
 	return left
 }
 
-// release deletes the claim if it still carries the token, and reports whether the release
-// is finished. A claim that is missing may still appear if the write that made it is late,
-// so only a deletion, a body that cannot be decoded, or another token counts as finished.
-func (c *Claims) release(ctx context.Context, claim Claim) bool {
+// tryRelease deletes the claim if it still carries the token, and reports whether the
+// release is finished. A claim that is missing may still appear if the write that made it
+// is late, so only a deletion, a body that cannot be decoded, or another token counts as
+// finished.
+func (c *Claims) tryRelease(ctx context.Context, claim Claim) bool {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	o, err := c.platform.Get(ctx, core.KindClaim, claim.name)
--- a/coordination/owner/life.go
+++ b/coordination/owner/life.go
@@ -16,7 +16,7 @@
 }
 
 // runner returns the identity of this instance of the endpoint with the given ID.
-func (l instance) runner(id string) core.Runner { return core.Runner{ID: id, Born: l.startedAt} }
+func (i instance) runner(id string) core.Runner { return core.Runner{ID: id, Born: i.startedAt} }
 
 // instanceTracker tracks the current instance of an endpoint.
 type instanceTracker struct {
@@ -25,29 +25,29 @@
 	latest instance
 }
 
-func (l *instanceTracker) current() instance {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	return l.latest
+func (t *instanceTracker) current() instance {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	return t.latest
 }
 
 // exited records that nothing listens at the endpoint's address. Several such observations
 // while the endpoint is down still mean one exit.
-func (l *instanceTracker) exited() {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	l.latest = instance{startedAt: l.clock.Now()}
+func (t *instanceTracker) exited() {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	t.latest = instance{startedAt: t.clock.Now()}
 }
 
 // booted records the boot ID that the endpoint reports. A boot ID that differs from the
 // last one means a new instance.
-func (l *instanceTracker) booted(bootID string) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	if l.latest.bootID != "" && l.latest.bootID != bootID {
-		l.latest.startedAt = l.clock.Now()
+func (t *instanceTracker) booted(bootID string) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	if t.latest.bootID != "" && t.latest.bootID != bootID {
+		t.latest.startedAt = t.clock.Now()
 	}
-	l.latest.bootID = bootID
+	t.latest.bootID = bootID
 }
 
 // observe requests the endpoint's state and detects from the result whether the endpoint
--- a/coordination/owner/manager.go
+++ b/coordination/owner/manager.go
@@ -263,7 +263,7 @@
 // Dispatch starts an attempt, or joins the existing one if its ID is known.
 func (m *Manager) Dispatch(ctx context.Context, req Request) *Attempt {
 	attemptCtx, cancel := context.WithDeadline(context.Background(), req.Deadline)
-	a, fresh := m.attempts.register(&Attempt{
+	a, registered := m.attempts.register(&Attempt{
 		Request: req,
 		Buffer:  answer.NewBuffer(),
 		clock:   m.clock,
@@ -271,7 +271,7 @@
 		cancel:  cancel,
 		span:    trace.SpanContextFromContext(ctx),
 	})
-	if !fresh {
+	if !registered {
 		cancel()
 		return a
 	}
--- a/coordination/owner/orders.go
+++ b/coordination/owner/orders.go
@@ -54,9 +54,9 @@
 	clock        core.Clock
 
 	// Used only by run.
-	object        core.Object // holds the record as last read or written
-	recordValid   bool
-	recordReadAt  time.Time
+	object        core.Object          // holds the record as last read or written
+	recordValid   bool                 // object is the latest version, as far as is known here
+	recordReadAt  time.Time            // when the record was last read or written
 	sentAt        map[string]time.Time // time of the last order, by model@version
 	loadInstances map[string]instance  // instance to which a load was last sent, by model@version
 
--- a/coordination/owner/runner.go
+++ b/coordination/owner/runner.go
@@ -21,7 +21,7 @@
 	tickInterval     = 250 * time.Millisecond
 	initialCost      = 500 * time.Millisecond // assumed mean until a request has ended
 	costWeight       = 0.2                    // weight of the newest request in the moving mean
-	unreachableAfter = 3                      // consecutive failed observations
+	unreachableAfter = 3                      // misses
 	minRetryAfter    = time.Second
 )
 
@@ -46,13 +46,13 @@
 	spec          tree.Endpoint
 	queue         *queue.Queue
 	running       map[string]*Attempt
-	perModel      map[string]int
+	perModel      map[string]int  // running requests by model
 	cost          time.Duration   // moving mean of the time that a request holds a slot
 	ready         map[string]bool // models that the last observation reported as ready
 	leaving       bool            // reported by the endpoint itself
-	misses        int
-	everObserved  bool      // at least one observation succeeded
-	observedStart time.Time // start of the instance that was observed last
+	misses        int             // consecutive failed observations
+	everObserved  bool            // at least one observation succeeded
+	observedStart time.Time       // start of the instance that was observed last
 	released      bool
 
 	inboxMu     sync.RWMutex // guards inboxClosed
@@ -142,8 +142,8 @@
 	}
 }
 
-// closeInbox closes the inbox, processes the events that are still in it and refuses all
-// queued requests.
+// closeInbox closes the inbox, processes the events that are still in it, in which new
+// attempts are refused, and refuses all queued requests.
 func (r *runner) closeInbox() {
 	r.inboxMu.Lock()
 	r.inboxClosed = true
--- a/coordination/route/budget.go
+++ b/coordination/route/budget.go
@@ -8,7 +8,7 @@
 )
 
 const (
-	retryShare = 0.1 // of first attempts
+	retryShare = 0.1 // retries per first attempt
 	retryBurst = 10
 	// penaltyStep is added to a runner's cost for each failed attempt. The penalty halves
 	// every penaltyHalfLife, so that requests return to the runner slowly.
