--- a/coordination/owner/manager.go
+++ b/coordination/owner/manager.go
@@ -157,8 +157,8 @@
 
 // Of returns the daemon that should own a runner: one in the runner's own data centre if
 // there is any, else one of all members.
-func Of(members core.Members, id, place string) (core.Member, bool) {
-	if best := members.Rank("runner/"+id, place, 1); len(best) > 0 {
+func Of(members core.Members, id, dataCentre string) (core.Member, bool) {
+	if best := members.Rank("runner/"+id, dataCentre, 1); len(best) > 0 {
 		return best[0], true
 	}
 	if best := members.Rank("runner/"+id, "", 1); len(best) > 0 {
