--- a/coordination/owner/admit.go
+++ b/coordination/owner/admit.go
@@ -11,97 +11,105 @@
 	"primroseward/state/tree"
 )
 
-func (r *runner) target(a *Attempt) time.Duration {
+// targetLatency returns the target time to first byte of the attempt's class by the
+// settings in force, or 0 while there are none.
+func (r *runner) targetLatency(a *Attempt) time.Duration {
 	t := r.mgr.replica.Tree()
 	if t == nil {
 		return 0
 	}
-	return t.Effective(r.coord(a)).Target(a.Class)
+	return t.Effective(r.settingsCoord(a)).Target(a.Class)
 }
 
-func (r *runner) coord(a *Attempt) tree.Coord {
+// settingsCoord returns the coordinates under which the settings of an attempt on this
+// runner are looked up.
+func (r *runner) settingsCoord(a *Attempt) tree.Coord {
 	return tree.Coord{Service: a.Service, Model: a.Model, Place: r.spec.Place}
 }
 
-// admit refuses what may not or could not be served here in time. The queue
-// tells exactly what is ahead, so the refusal is made now and not after a wait
-// that cannot end well.
+// admit refuses an attempt that may not be served here or cannot be served in time. The
+// work ahead in the queue is known at this point, so an attempt that would exceed its
+// target or its deadline is refused at once instead of after a useless wait.
 func (r *runner) admit(a *Attempt) *core.RequestError {
-	if err := r.permit(a); err != nil {
+	if err := r.checkSendable(a); err != nil {
 		return err
 	}
-	wait := r.wait(a.Class)
-	target := r.target(a)
+	wait := r.expectedWait(a.Class)
+	target := r.targetLatency(a)
 	left := a.Deadline.Sub(r.mgr.clock.Now())
 	if wait > min(target, left) {
-		retry := max(minRetry, wait-target)
+		retry := max(minRetryAfter, wait-target)
 		return core.NotRun(http.StatusServiceUnavailable, core.CodeOverloaded, "the queue is longer than the class's target allows", retry)
 	}
-	return r.takeLimit(a)
+	return r.takeToken(a)
 }
 
-// takeLimit lets an attempt through by the limit that the endpoint names.
-func (r *runner) takeLimit(a *Attempt) *core.RequestError {
+// takeToken takes a token from the bucket that enforces the endpoint's published limit,
+// and refuses the attempt if there is none. Endpoints without a limit need no token.
+func (r *runner) takeToken(a *Attempt) *core.RequestError {
 	limit, ok := r.mgr.limits.Limit(r.id)
 	if !ok {
 		return nil
 	}
-	got := r.mgr.limits.Take(r.id, a.Class.Rank())
-	if got.OK {
-		a.limited = true
+	admission := r.mgr.limits.Take(r.id, a.Class.Rank())
+	if admission.OK {
+		a.tookToken = true
 		return nil
 	}
 	r.mgr.log.Info(logs.RunnerAtLimit, zap.String("runner", r.id), zap.String("request", a.Request.Request), zap.Float64("limit", limit.Rate),
-		zap.Duration("heard", limit.Age), zap.Float64("left", got.Left), zap.Float64("asked", got.Asked), zap.Duration("retry", got.Retry))
-	return core.NotRun(http.StatusServiceUnavailable, core.CodeLimited, "the endpoint takes no more for now", got.Retry)
+		zap.Duration("heard", limit.Age), zap.Float64("left", admission.Left), zap.Float64("asked", admission.Asked), zap.Duration("retry", admission.Retry))
+	return core.NotRun(http.StatusServiceUnavailable, core.CodeLimited, "the endpoint's rate limit is reached", admission.Retry)
 }
 
-// refuse ends an attempt that was admitted and is not sent.
+// refuse ends an attempt that was admitted but is not sent, and gives its token back.
 func (r *runner) refuse(a *Attempt, err *core.RequestError) {
-	if a.limited {
+	if a.tookToken {
 		r.mgr.limits.Give(r.id)
 	}
 	a.refuse(err)
 }
 
-// permit checks what must hold at the moment of sending: the settings in force
-// here, the endpoint's leaving, and that the model is there to stay.
-func (r *runner) permit(a *Attempt) *core.RequestError {
+// checkSendable checks what must hold when an attempt is sent: this daemon owns the
+// runner, the settings in force allow its data centre and are recent enough, the endpoint
+// answers and is not leaving, and the model is ready and not about to be evicted.
+func (r *runner) checkSendable(a *Attempt) *core.RequestError {
 	t := r.mgr.replica.Tree()
 	if t == nil || r.released {
-		return core.NotRun(http.StatusServiceUnavailable, "not_owner", "this daemon does not own the runner", minRetry)
+		return core.NotRun(http.StatusServiceUnavailable, "not_owner", "this daemon does not own the runner", minRetryAfter)
 	}
-	eff, ok := t.Allowed(r.coord(a))
+	eff, ok := t.Allowed(r.settingsCoord(a))
 	if !ok {
-		return core.NotRun(http.StatusForbidden, "place_not_allowed", "settings do not allow the runner's place", 0)
+		return core.NotRun(http.StatusForbidden, "place_not_allowed", "settings do not allow the runner's data centre", 0)
 	}
-	if fresh := r.mgr.fresh(); eff.Fresh > 0 && (fresh < 0 || fresh > eff.Fresh) {
-		return core.NotRun(http.StatusServiceUnavailable, "settings_not_fresh", "settings could not be confirmed lately", minRetry)
+	if age := r.mgr.settingsAge(); eff.Fresh > 0 && (age < 0 || age > eff.Fresh) {
+		return core.NotRun(http.StatusServiceUnavailable, "settings_not_fresh", "settings have not been confirmed recently", minRetryAfter)
 	}
 	if r.isLeaving() {
-		return core.NotRun(http.StatusServiceUnavailable, "runner_leaving", "the endpoint takes no new work", minRetry)
+		return core.NotRun(http.StatusServiceUnavailable, "runner_leaving", "the endpoint accepts no new requests", minRetryAfter)
 	}
-	if r.misses >= missesToLose {
-		return core.NotRun(http.StatusServiceUnavailable, "runner_unreachable", "the endpoint does not answer", minRetry)
+	if r.misses >= unreachableAfter {
+		return core.NotRun(http.StatusServiceUnavailable, "runner_unreachable", "the endpoint does not answer", minRetryAfter)
 	}
 	if a.Model != "" && !r.serves(a.Model) {
-		return core.NotRun(http.StatusServiceUnavailable, "model_not_ready", "the model is not ready on this runner", minRetry)
+		return core.NotRun(http.StatusServiceUnavailable, "model_not_ready", "the model is not ready on this runner", minRetryAfter)
 	}
 	return nil
 }
 
+// isLeaving reports whether the endpoint accepts no new requests: it says so itself, it is
+// drained or marked as leaving, or the settings no longer list it.
 func (r *runner) isLeaving() bool {
 	_, listed := r.mgr.spec(r.id)
 	return r.leaving || r.spec.Drain || !listed || r.mgr.replica.Leaving(r.id)
 }
 
-// serves says whether a model is ready and not about to be evicted.
+// serves reports whether a model is ready and not about to be evicted.
 func (r *runner) serves(model string) bool {
-	return r.ready[model] && (r.ledger == nil || !r.ledger.blocks(model))
+	return r.ready[model] && (r.ledger == nil || !r.ledger.evictingOnlyVersion(model))
 }
 
-// wait is the expected time until a new request of a class starts.
-func (r *runner) wait(c core.Class) time.Duration {
+// expectedWait returns the expected time until a new request of a class starts.
+func (r *runner) expectedWait(c core.Class) time.Duration {
 	slots := max(1, r.spec.Slots)
 	if len(r.running) < slots && r.queue.Len() == 0 {
 		return 0
--- a/coordination/owner/attempt.go
+++ b/coordination/owner/attempt.go
@@ -19,17 +19,18 @@
 )
 
 const (
-	// resumes bounds how often one stream is read again on a new connection.
-	resumes = 3
-	// cancelTimeout bounds the word to an engine that a caller has gone.
-	cancelTimeout = time.Second
-	copyBuffer    = 32 << 10
+	// maxResumes bounds how often one stream is resumed on a new connection.
+	maxResumes = 3
+	// cancelTimeout bounds the call that cancels an attempt at the engine after its answer
+	// could not be completed.
+	cancelTimeout  = time.Second
+	copyBufferSize = 32 << 10
 )
 
-// doneMark ends a stream of server-sent events in OpenAI's form.
-var doneMark = []byte("data: [DONE]")
+// doneMarker ends a stream of server-sent events in the OpenAI API.
+var doneMarker = []byte("data: [DONE]")
 
-// Request is one attempt as the entry asks for it.
+// Request is one attempt as an entry dispatches it to the owner.
 type Request struct {
 	Request  string
 	Attempt  string
@@ -42,31 +43,31 @@
 	Path     string
 	Header   http.Header
 	Body     []byte
-	Repeat   bool
-	Retry    bool
-	Digest   core.Digest // of what the request asks
+	Repeat   bool        // the request may be sent again: it is idempotent
+	Retry    bool        // this is a further attempt of the request
+	Digest   core.Digest // hash of the request, for the quarantine
 }
 
-// Attempt is one attempt in progress or lately ended.
+// Attempt is an attempt that is in progress or has ended recently.
 type Attempt struct {
 	Request
 	Buffer *answer.Buffer
 
-	endpoint core.Endpoint
-	stall    time.Duration
-	clock    core.Clock
-	ctx      context.Context
-	cancel   context.CancelFunc
-	began    time.Time           // of its slot; set before run starts
-	life     life                // of the endpoint when it was sent; set before run starts
-	answered func(h http.Header) // takes in an answer's headers; set before run starts
-	again    func()              // counts the answer as asked for once more; set before run starts
-	limited  bool                // has been let through by the endpoint's limit; held by the loop
-	readAt   time.Time           // last seen with a reader; held by the sweep
-	ended    time.Time           // held by the sweep
-	status   int                 // of the answer; held by run
-	span     trace.SpanContext
-	unwatch  func() bool // ends the watch for a deadline in the queue
+	endpoint          core.Endpoint
+	stall             time.Duration
+	clock             core.Clock
+	ctx               context.Context
+	cancel            context.CancelFunc
+	startedAt         time.Time           // when it took its slot; set before run starts
+	instance          instance            // of the endpoint at the time of sending; set before run starts
+	onHeader          func(h http.Header) // called with the answer's headers; set before run starts
+	onResume          func()              // charges a resumption to the endpoint's limit; set before run starts
+	tookToken         bool                // holds a token of the endpoint's limit; used only by the runner's loop
+	lastReadAt        time.Time           // when the sweep last saw a reader; used only by the sweep
+	endedAt           time.Time           // when the sweep first saw the end; used only by the sweep
+	status            int                 // of the answer; used only by run
+	span              trace.SpanContext
+	stopDeadlineWatch func() bool // unregisters the callback for a deadline that passes in the queue
 }
 
 // refuse ends an attempt that was never sent.
@@ -75,11 +76,11 @@
 	a.cancel()
 }
 
-// run sends the attempt and copies its answer until it ends; it then tells the guard
-// and its runner.
+// run sends the attempt and copies its answer until it ends. It then reports the outcome
+// to the guard and calls done.
 func (a *Attempt) run(guard core.Guard, done func(*Attempt)) {
 	defer done(a)
-	defer a.tell(guard)
+	defer a.reportOutcome(guard)
 	defer a.cancel()
 	ctx := trace.ContextWithRemoteSpanContext(a.ctx, a.span)
 	ctx, span := otel.Tracer("primroseward").Start(ctx, "endpoint", trace.WithAttributes(
@@ -91,18 +92,18 @@
 		return
 	}
 	a.status = ans.Status
-	a.answered(ans.Header)
+	a.onHeader(ans.Header)
 	a.Buffer.SetHead(answer.Head{Status: ans.Status, Header: ans.Header})
-	if err := a.copyAll(ctx, ans); err != nil {
-		a.Buffer.Fail(a.explain(err))
-		a.tellGone()
+	if err := a.copyAnswer(ctx, ans); err != nil {
+		a.Buffer.Fail(a.classifyCopyError(err))
+		a.cancelAtEngine()
 		return
 	}
 	a.Buffer.Finish()
 }
 
-// tell tells the guard how the attempt has ended at its endpoint.
-func (a *Attempt) tell(guard core.Guard) {
+// reportOutcome reports to the quarantine guard how the attempt ended at its endpoint.
+func (a *Attempt) reportOutcome(guard core.Guard) {
 	_, err := a.Buffer.Done()
 	switch {
 	case err == nil:
@@ -110,8 +111,9 @@
 			guard.Worked(a.Digest)
 		}
 	case err.Code == core.CodeEndpointBroken:
-		// The endpoint is sent no more than it has slots, so that it had begun.
-		guard.Broke(core.Broken{Digest: a.Digest, Runner: a.life.runner(a.Runner), Route: a.Service, Service: a.Service, Begun: true})
+		// Begun: the endpoint is never sent more requests than it has slots, so it had
+		// started on this one.
+		guard.Broke(core.Broken{Digest: a.Digest, Runner: a.instance.runner(a.Runner), Route: a.Service, Service: a.Service, Begun: true})
 	}
 }
 
@@ -128,28 +130,28 @@
 	}
 }
 
-// copyAll copies the answer. When the connection breaks or goes silent the
-// engine may still hold the stream, so it is read on from the same offset over
-// a new connection; the caller sees neither gap nor repetition.
-func (a *Attempt) copyAll(ctx context.Context, ans *core.Answer) error {
-	tail := &tailCheck{on: isEvents(ans.Header)}
-	err := a.copyOne(ctx, ans.Body, tail)
-	for try := 0; err != nil && try < resumes && ctx.Err() == nil && a.Model != ""; try++ {
-		a.again()
-		next, resumeErr := a.endpoint.Resume(ctx, a.call(), a.Buffer.Len())
+// copyAnswer copies the answer to the buffer. When the connection breaks or stalls, the
+// engine may still hold the stream, so the answer is resumed at the same offset over a new
+// connection; the caller sees neither a gap nor a repetition.
+func (a *Attempt) copyAnswer(ctx context.Context, ans *core.Answer) error {
+	tail := &tailCheck{enabled: isEventStream(ans.Header)}
+	err := a.copyBody(ctx, ans.Body, tail)
+	for resumes := 0; err != nil && resumes < maxResumes && ctx.Err() == nil && a.Model != ""; resumes++ {
+		a.onResume()
+		resumed, resumeErr := a.endpoint.Resume(ctx, a.call(), a.Buffer.Len())
 		if resumeErr != nil {
 			return err
 		}
-		err = a.copyOne(ctx, next.Body, tail)
+		err = a.copyBody(ctx, resumed.Body, tail)
 	}
 	return err
 }
 
-var errNoDone = errors.New("the stream ended without its end marker")
+var errNoDoneMarker = errors.New("the stream ended without its end marker")
 
-func (a *Attempt) copyOne(ctx context.Context, body io.ReadCloser, tail *tailCheck) error {
+func (a *Attempt) copyBody(ctx context.Context, body io.ReadCloser, tail *tailCheck) error {
 	defer body.Close()
-	buf := make([]byte, copyBuffer)
+	buf := make([]byte, copyBufferSize)
 	for {
 		n, err := body.Read(buf)
 		if n > 0 {
@@ -159,8 +161,8 @@
 			}
 		}
 		if err == io.EOF {
-			if !tail.whole() {
-				return errNoDone
+			if !tail.complete() {
+				return errNoDoneMarker
 			}
 			return nil
 		}
@@ -170,46 +172,50 @@
 	}
 }
 
-func isEvents(h http.Header) bool {
+func isEventStream(h http.Header) bool {
 	return strings.HasPrefix(h.Get("Content-Type"), "text/event-stream")
 }
 
-// tailCheck keeps the end of a stream of events to see its end marker.
+// tailCheck keeps the last bytes of an event stream to check that it ends with its end
+// marker.
 type tailCheck struct {
-	on   bool
-	last []byte
+	enabled bool
+	tail    []byte
 }
 
-const tailLength = 64
+const tailSize = 64
 
 func (t *tailCheck) write(b []byte) {
-	if !t.on {
+	if !t.enabled {
 		return
 	}
-	t.last = append(t.last, b...)
-	if len(t.last) > tailLength {
-		t.last = append(t.last[:0], t.last[len(t.last)-tailLength:]...)
+	t.tail = append(t.tail, b...)
+	if len(t.tail) > tailSize {
+		t.tail = append(t.tail[:0], t.tail[len(t.tail)-tailSize:]...)
 	}
 }
 
-func (t *tailCheck) whole() bool {
-	return !t.on || bytes.HasSuffix(bytes.TrimRight(t.last, "\r\n"), doneMark)
+func (t *tailCheck) complete() bool {
+	return !t.enabled || bytes.HasSuffix(bytes.TrimRight(t.tail, "\r\n"), doneMarker)
 }
 
-func (a *Attempt) explain(err error) *core.RequestError {
+// classifyCopyError maps an error of copyAnswer to the error that the caller receives:
+// deadline, cancelled, or a broken endpoint.
+func (a *Attempt) classifyCopyError(err error) *core.RequestError {
 	if a.ctx.Err() != nil {
 		if !a.clock.Now().Before(a.Deadline) {
-			e := core.MayHaveRun("deadline", "the answer was not whole by the deadline")
+			e := core.MayHaveRun("deadline", "the answer was not complete by the deadline")
 			e.Status = http.StatusGatewayTimeout
 			return e
 		}
-		return core.MayHaveRun("cancelled", "the caller has gone")
+		return core.MayHaveRun("cancelled", "the caller disconnected")
 	}
 	return core.MayHaveRun(core.CodeEndpointBroken, err.Error())
 }
 
-// tellGone frees the engine from work that nobody waits for.
-func (a *Attempt) tellGone() {
+// cancelAtEngine cancels the attempt at the engine, so that the engine does not work on an
+// answer that nobody reads.
+func (a *Attempt) cancelAtEngine() {
 	if a.Model == "" {
 		return
 	}
@@ -218,19 +224,21 @@
 	_ = a.endpoint.Cancel(ctx, a.Attempt)
 }
 
-// attempts finds attempts by id. An attempt's id stays known for a while after
-// its end, so that a dispatch which a transport sends twice joins the first
+// attempts is an index of attempts by ID. An ID stays known for a while after the attempt
+// has ended, so that a dispatch that the transport sends twice joins the first attempt
 // instead of running again.
 type attempts struct {
 	mu   sync.Mutex
 	byID map[string]*Attempt
 }
 
-func (m *attempts) begin(a *Attempt) (*Attempt, bool) {
+// register adds an attempt. If its ID is already known, it returns the existing attempt
+// and false.
+func (m *attempts) register(a *Attempt) (*Attempt, bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if have, ok := m.byID[a.Attempt]; ok {
-		return have, false
+	if existing, ok := m.byID[a.Attempt]; ok {
+		return existing, false
 	}
 	m.byID[a.Attempt] = a
 	return a, true
@@ -243,41 +251,42 @@
 	return a, ok
 }
 
-// sweep drops the answers of attempts that ended a while ago, forgets their
-// ids later, and cancels attempts that nobody has read for long if they may be
-// repeated.
-func (m *attempts) sweep(now time.Time, release, life, orphan time.Duration) {
+// sweep releases the answers of attempts that ended more than releaseAfter ago, forgets
+// their IDs after forgetAfter, and cancels attempts that have had no reader for
+// orphanAfter if their request is repeatable.
+func (m *attempts) sweep(now time.Time, releaseAfter, forgetAfter, orphanAfter time.Duration) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	for id, a := range m.byID {
 		done, _ := a.Buffer.Done()
 		if !done {
-			a.orphaned(now, orphan)
+			a.cancelIfOrphaned(now, orphanAfter)
 			continue
 		}
-		if a.ended.IsZero() {
-			a.ended = now
+		if a.endedAt.IsZero() {
+			a.endedAt = now
 		}
-		age := now.Sub(a.ended)
-		if age > release && a.Buffer.Readers() == 0 {
+		age := now.Sub(a.endedAt)
+		if age > releaseAfter && a.Buffer.Readers() == 0 {
 			a.Buffer.Release()
 		}
-		if age > life {
+		if age > forgetAfter {
 			delete(m.byID, id)
 		}
 	}
 }
 
-// orphaned cancels an attempt whose entry has been away for too long.
-func (a *Attempt) orphaned(now time.Time, limit time.Duration) {
+// cancelIfOrphaned cancels a repeatable attempt that no entry has read for longer than
+// after.
+func (a *Attempt) cancelIfOrphaned(now time.Time, after time.Duration) {
 	if a.Buffer.Readers() > 0 || !a.Repeat {
-		a.readAt = now
+		a.lastReadAt = now
 		return
 	}
-	if a.readAt.IsZero() {
-		a.readAt = now
+	if a.lastReadAt.IsZero() {
+		a.lastReadAt = now
 	}
-	if now.Sub(a.readAt) > limit {
+	if now.Sub(a.lastReadAt) > after {
 		a.cancel()
 	}
 }
--- a/coordination/owner/life.go
+++ b/coordination/owner/life.go
@@ -9,72 +9,73 @@
 	"primroseward/core"
 )
 
-// life is one life of an endpoint's process, as its owner tells it from others.
-type life struct {
-	begun time.Time // when the owner first knew of it
-	boot  string    // as the endpoint tells it; empty: not told yet
+// instance identifies one instance of an endpoint: one lifetime of its process.
+type instance struct {
+	startedAt time.Time // when the owner first detected it
+	bootID    string    // as the endpoint reports it; empty until the first report
 }
 
-// runner names an endpoint's life where runners are spoken of.
-func (l life) runner(id string) core.Runner { return core.Runner{ID: id, Born: l.begun} }
+// runner returns the identity of this instance of the endpoint with the given ID.
+func (i instance) runner(id string) core.Runner { return core.Runner{ID: id, Born: i.startedAt} }
 
-// lives keeps which life of an endpoint is the current one.
-type lives struct {
-	clock core.Clock
-	mu    sync.Mutex
-	is    life
+// instanceTracker tracks the current instance of an endpoint.
+type instanceTracker struct {
+	clock  core.Clock
+	mu     sync.Mutex
+	latest instance
 }
 
-func (l *lives) now() life {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	return l.is
+func (t *instanceTracker) current() instance {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	return t.latest
 }
 
-// ended takes in that nothing listens at the endpoint. One that is asked several times
-// while it is away has still ended once.
-func (l *lives) ended() {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	l.is = life{begun: l.clock.Now()}
+// exited records that nothing listens at the endpoint's address. Several such observations
+// while the endpoint is down still mean one exit.
+func (t *instanceTracker) exited() {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	t.latest = instance{startedAt: t.clock.Now()}
 }
 
-// told takes in the boot that the endpoint tells of itself.
-func (l *lives) told(boot string) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	if l.is.boot != "" && l.is.boot != boot {
-		l.is.begun = l.clock.Now()
+// booted records the boot ID that the endpoint reports. A boot ID that differs from the
+// last one means a new instance.
+func (t *instanceTracker) booted(bootID string) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	if t.latest.bootID != "" && t.latest.bootID != bootID {
+		t.latest.startedAt = t.clock.Now()
 	}
-	l.is.boot = boot
+	t.latest.bootID = bootID
 }
 
-// observe asks the endpoint what it holds, and learns from the answer whether it has
-// started again.
+// observe requests the endpoint's state and detects from the result whether the endpoint
+// has exited or restarted.
 func (r *runner) observe(ctx context.Context) (core.Observation, error) {
 	obs, err := r.endpoint.Observe(ctx)
 	switch {
 	case errors.Is(err, core.ErrNoListener):
-		r.alive.ended()
+		r.instances.exited()
 	case err == nil:
-		r.alive.told(obs.Boot)
+		r.instances.booted(obs.Boot)
 	}
 	return obs, err
 }
 
-// Report asks an owned endpoint for its state. It fails with core.ErrNoListener where the
-// process has ended and core.ErrReplaced where another one has taken its place; the
-// report's Born is that of the life that answers.
+// Report requests the state of an owned endpoint. It fails with core.ErrNoListener if the
+// process has exited and with core.ErrReplaced if another instance has replaced it. Born
+// in the report is that of the instance that answered.
 func (m *Manager) Report(ctx context.Context, of *core.Runner) (*core.Report, error) {
 	r := m.runner(of.ID)
 	if r == nil {
 		return nil, core.ErrNotFound
 	}
-	if is := r.alive.now(); !is.begun.Equal(of.Born) {
+	if current := r.instances.current(); !current.startedAt.Equal(of.Born) {
 		return nil, core.ErrReplaced
 	}
 	if _, err := r.observe(ctx); err != nil && !errors.Is(err, core.ErrNotFound) {
 		return nil, err
 	}
-	return &core.Report{Born: r.alive.now().begun}, nil
+	return &core.Report{Born: r.instances.current().startedAt}, nil
 }
--- a/coordination/owner/runner.go
+++ b/coordination/owner/runner.go
@@ -17,19 +17,19 @@
 )
 
 const (
-	inboxRing    = 1024
-	tickEvery    = 250 * time.Millisecond
-	firstCost    = 500 * time.Millisecond // of a request, until one has ended
-	costWeight   = 0.2                    // of the newest request in the mean
-	missesToLose = 3                      // observations in a row
-	minRetry     = time.Second
+	inboxSize        = 1024
+	tickInterval     = 250 * time.Millisecond
+	initialCost      = 500 * time.Millisecond // assumed mean until a request has ended
+	costWeight       = 0.2                    // weight of the newest request in the moving mean
+	unreachableAfter = 3                      // misses
+	minRetryAfter    = time.Second
 )
 
 // event is a message to a runner's loop.
 type event interface{ apply(r *runner) }
 
-// runner is one endpoint that this daemon owns. Its loop holds all of its
-// state; other goroutines send it events through a bounded ring.
+// runner is an endpoint that this daemon owns. Its state belongs to its loop; other
+// goroutines send the loop events through a bounded channel.
 type runner struct {
 	id       string
 	addr     string
@@ -42,51 +42,51 @@
 	ctx      context.Context
 	wg       sync.WaitGroup
 
-	// Held by the loop.
-	spec     tree.Endpoint
-	queue    *queue.Queue
-	running  map[string]*Attempt
-	perModel map[string]int
-	cost     time.Duration
-	ready    map[string]bool // models observed ready
-	leaving  bool            // the endpoint says so itself
-	misses   int
-	seen     bool      // observed at least once
-	begun    time.Time // of the endpoint's life that was observed last
-	released bool
-
-	ending sync.RWMutex // guards over
-	over   bool         // the loop takes no more events
-
-	mu      sync.Mutex // guards what follows
-	report  directory.Report
-	given   directory.Report // to the directory, last
-	missing bool
-	alive   lives
-	// meanCost is a copy of cost for readers outside the loop.
+	// Used only by the loop.
+	spec          tree.Endpoint
+	queue         *queue.Queue
+	running       map[string]*Attempt
+	perModel      map[string]int  // running requests by model
+	cost          time.Duration   // moving mean of the time that a request holds a slot
+	ready         map[string]bool // models that the last observation reported as ready
+	leaving       bool            // reported by the endpoint itself
+	misses        int             // consecutive failed observations
+	everObserved  bool            // at least one observation succeeded
+	observedStart time.Time       // start of the instance that was observed last
+	released      bool
+
+	inboxMu     sync.RWMutex // guards inboxClosed
+	inboxClosed bool         // the loop takes no more events
+
+	mu          sync.Mutex // guards what follows
+	report      directory.Report
+	lastReport  directory.Report // last report sent to the directory
+	unreachable bool
+	instances   instanceTracker
+	// meanCost is a copy of cost for other goroutines.
 	meanCost time.Duration
 }
 
 func newRunner(mgr *Manager, id string, spec tree.Endpoint, ep core.Endpoint) *runner {
 	ctx, cancel := context.WithCancel(context.Background())
 	r := &runner{
-		id:       id,
-		addr:     spec.Addr,
-		kind:     spec.Kind,
-		mgr:      mgr,
-		endpoint: ep,
-		inbox:    make(chan event, inboxRing),
-		ctx:      ctx,
-		stop:     cancel,
-		spec:     spec,
-		queue:    queue.New(),
-		running:  map[string]*Attempt{},
-		perModel: map[string]int{},
-		cost:     firstCost,
-		ready:    map[string]bool{},
-		alive:    lives{clock: mgr.clock, is: life{begun: mgr.clock.Now()}},
+		id:        id,
+		addr:      spec.Addr,
+		kind:      spec.Kind,
+		mgr:       mgr,
+		endpoint:  ep,
+		inbox:     make(chan event, inboxSize),
+		ctx:       ctx,
+		stop:      cancel,
+		spec:      spec,
+		queue:     queue.New(),
+		running:   map[string]*Attempt{},
+		perModel:  map[string]int{},
+		cost:      initialCost,
+		ready:     map[string]bool{},
+		instances: instanceTracker{clock: mgr.clock, latest: instance{startedAt: mgr.clock.Now()}},
 	}
-	r.publish()
+	r.updateReport()
 	if spec.Kind == tree.KindModel {
 		r.ledger = newLedgerKeeper(r)
 		r.wg.Add(1)
@@ -98,13 +98,13 @@
 	return r
 }
 
-// post sends an event; false when the ring is full or the runner has ended. An
-// event that were left in the ring of an ended loop would leave its caller
-// waiting until its deadline.
-func (r *runner) post(e event) bool {
-	r.ending.RLock()
-	defer r.ending.RUnlock()
-	if r.over {
+// trySend sends an event. It returns false if the channel is full or the loop has ended,
+// because the sender of an event left in the channel of an ended loop would wait until its
+// deadline.
+func (r *runner) trySend(e event) bool {
+	r.inboxMu.RLock()
+	defer r.inboxMu.RUnlock()
+	if r.inboxClosed {
 		return false
 	}
 	select {
@@ -115,8 +115,9 @@
 	}
 }
 
-// must sends an event that may not be dropped.
-func (r *runner) must(e event) {
+// send sends an event that must not be dropped. It blocks while the channel is full, until
+// the runner is stopped.
+func (r *runner) send(e event) {
 	select {
 	case r.inbox <- e:
 	case <-r.ctx.Done():
@@ -125,48 +126,50 @@
 
 func (r *runner) loop() {
 	defer r.wg.Done()
-	tick := r.mgr.clock.NewTicker(tickEvery)
+	tick := r.mgr.clock.NewTicker(tickInterval)
 	defer tick.Stop()
 	for {
 		select {
 		case <-r.ctx.Done():
-			r.finish()
+			r.closeInbox()
 			return
 		case e := <-r.inbox:
 			e.apply(r)
 		case <-tick.Chan():
 			r.tick()
 		}
-		r.publish()
+		r.updateReport()
 	}
 }
 
-// finish refuses what waits and what still came in.
-func (r *runner) finish() {
-	r.ending.Lock()
-	r.over = true
-	r.ending.Unlock()
+// closeInbox closes the inbox, processes the events that are still in it, in which new
+// attempts are refused, and refuses all queued requests.
+func (r *runner) closeInbox() {
+	r.inboxMu.Lock()
+	r.inboxClosed = true
+	r.inboxMu.Unlock()
 	r.released = true
 	for {
 		select {
 		case e := <-r.inbox:
 			e.apply(r)
 		default:
-			r.refuseAll("runner_released", "the runner has another owner now")
+			r.refuseQueued("runner_released", "this daemon no longer owns the runner")
 			return
 		}
 	}
 }
 
-// tick gives up requests whose time is over and starts what can start.
+// tick reads the endpoint's settings again and starts the queued requests for which there
+// are slots.
 func (r *runner) tick() {
 	if spec, ok := r.mgr.spec(r.id); ok {
 		r.spec = spec
 	}
-	r.pump()
+	r.startWaiting()
 }
 
-// enqueue asks for a slot.
+// enqueue submits an attempt to the queue, after admission.
 type enqueue struct{ attempt *Attempt }
 
 func (e enqueue) apply(r *runner) {
@@ -176,27 +179,27 @@
 		return
 	}
 	now := r.mgr.clock.Now()
-	item := &queue.Item{ID: a.Attempt, Class: a.Class, Retry: a.Retry, Deadline: now.Add(r.target(a)), Cost: r.cost, Value: a}
+	item := &queue.Item{ID: a.Attempt, Class: a.Class, Retry: a.Retry, Deadline: now.Add(r.targetLatency(a)), Cost: r.cost, Value: a}
 	r.queue.Push(item, now)
-	// A request whose deadline ends while it waits is answered then and there.
-	a.unwatch = context.AfterFunc(a.ctx, func() { r.must(giveUp{a}) })
-	r.pump()
+	// A request whose deadline passes in the queue is answered immediately.
+	a.stopDeadlineWatch = context.AfterFunc(a.ctx, func() { r.send(abandon{a}) })
+	r.startWaiting()
 }
 
-// pump starts waiting requests while there are slots.
-func (r *runner) pump() {
+// startWaiting starts queued requests while there are free slots.
+func (r *runner) startWaiting() {
 	for len(r.running) < max(1, r.spec.Slots) {
 		item := r.queue.Pop(r.mgr.clock.Now())
 		if item == nil {
 			return
 		}
 		a := item.Value.(*Attempt)
-		if err := r.permit(a); err != nil {
+		if err := r.checkSendable(a); err != nil {
 			r.refuse(a, err)
 			continue
 		}
 		if a.ctx.Err() != nil {
-			r.refuse(a, gaveUp())
+			r.refuse(a, errNotSentInTime())
 			continue
 		}
 		r.start(a)
@@ -204,38 +207,38 @@
 }
 
 func (r *runner) start(a *Attempt) {
-	a.unwatch()
+	a.stopDeadlineWatch()
 	t := r.mgr.replica.Tree()
 	a.endpoint = r.endpoint
-	a.stall = t.Effective(r.coord(a)).Stall
-	a.began = r.mgr.clock.Now()
-	a.life = r.alive.now()
-	if !a.limited {
-		r.mgr.limits.Charge(r.id) // was admitted before the endpoint named its limit
+	a.stall = t.Effective(r.settingsCoord(a)).Stall
+	a.startedAt = r.mgr.clock.Now()
+	a.instance = r.instances.current()
+	if !a.tookToken {
+		r.mgr.limits.Charge(r.id) // admitted before the endpoint published its limit
 	}
-	a.again = func() { r.mgr.limits.Charge(r.id) }
-	a.answered = func(h http.Header) {
+	a.onResume = func() { r.mgr.limits.Charge(r.id) }
+	a.onHeader = func(h http.Header) {
 		r.mgr.limits.Answered(r.id, core.ReplyInfo{Stamped: true, Limit: core.ReadRateLimit(h.Values(core.HeaderLimit))})
 	}
 	r.running[a.Attempt] = a
 	r.perModel[a.Model]++
 	r.wg.Add(1)
-	go a.run(r.mgr.guard, r.ended)
+	go a.run(r.mgr.guard, r.attemptEnded)
 }
 
-// ended is called by an attempt's own goroutine.
-func (r *runner) ended(a *Attempt) {
+// attemptEnded is called from the attempt's own goroutine.
+func (r *runner) attemptEnded(a *Attempt) {
 	defer r.wg.Done()
-	r.must(finished{attempt: a, took: r.mgr.clock.Since(a.began)})
+	r.send(freeSlot{attempt: a, took: r.mgr.clock.Since(a.startedAt)})
 }
 
-// finished frees a slot.
-type finished struct {
+// freeSlot frees the slot of an attempt that has ended.
+type freeSlot struct {
 	attempt *Attempt
 	took    time.Duration
 }
 
-func (e finished) apply(r *runner) {
+func (e freeSlot) apply(r *runner) {
 	delete(r.running, e.attempt.Attempt)
 	r.perModel[e.attempt.Model]--
 	if _, fail := e.attempt.Buffer.Done(); fail == nil {
@@ -244,44 +247,44 @@
 	} else {
 		r.mgr.count("failed")
 	}
-	r.pump()
+	r.startWaiting()
 }
 
-// giveUp takes out a waiting request whose deadline is over or whose caller
-// has gone.
-type giveUp struct{ attempt *Attempt }
+// abandon removes a queued request whose deadline has passed or whose caller has
+// disconnected.
+type abandon struct{ attempt *Attempt }
 
-func (e giveUp) apply(r *runner) {
+func (e abandon) apply(r *runner) {
 	if r.queue.Remove(e.attempt.Attempt) != nil {
-		r.refuse(e.attempt, gaveUp())
+		r.refuse(e.attempt, errNotSentInTime())
 	}
 }
 
-func gaveUp() *core.RequestError {
-	return core.NotRun(http.StatusGatewayTimeout, "deadline", "the request's time ended before it was sent", minRetry)
+func errNotSentInTime() *core.RequestError {
+	return core.NotRun(http.StatusGatewayTimeout, "deadline", "the request was not sent before its deadline", minRetryAfter)
 }
 
-// observed is one answer, or none, to the question what the endpoint holds.
-type observed struct {
+// observation is the result of one request for the endpoint's state.
+type observation struct {
 	obs core.Observation
 	err error
 }
 
-func (e observed) apply(r *runner) {
-	if is := r.alive.now(); !is.begun.Equal(r.begun) {
-		r.begun = is.begun
-		r.mgr.limits.Forget(r.id) // was another process's
+func (e observation) apply(r *runner) {
+	if current := r.instances.current(); !current.startedAt.Equal(r.observedStart) {
+		r.observedStart = current.startedAt
+		r.mgr.limits.Forget(r.id) // the limit was that of another instance
 	}
 	if e.err != nil {
 		r.misses++
-		if r.misses == missesToLose {
+		if r.misses == unreachableAfter {
 			r.mgr.log.Warn("endpoint does not answer", zap.String("runner", r.id), zap.Error(e.err))
-			r.refuseAll("runner_unreachable", "the endpoint does not answer")
+			r.refuseQueued("runner_unreachable", "the endpoint does not answer")
 		}
 		return
 	}
 	r.misses = 0
-	r.seen = true
+	r.everObserved = true
 	r.leaving = e.obs.Leaving
 	clear(r.ready)
 	for _, res := range e.obs.Residents {
@@ -290,63 +293,64 @@
 		}
 	}
 	if r.isLeaving() {
-		r.refuseAll("runner_leaving", "the endpoint takes no new work")
+		r.refuseQueued("runner_leaving", "the endpoint accepts no new requests")
 	}
-	r.pump()
+	r.startWaiting()
 }
 
-// refuseAll sends the waiting requests back so that their entries find another
-// runner; what runs goes on.
-func (r *runner) refuseAll(code, message string) {
+// refuseQueued refuses all queued requests, so that their entries choose another runner.
+// Running requests continue.
+func (r *runner) refuseQueued(code, message string) {
 	for _, item := range r.queue.Drain() {
-		r.refuse(item.Value.(*Attempt), core.NotRun(http.StatusServiceUnavailable, code, message, minRetry))
+		r.refuse(item.Value.(*Attempt), core.NotRun(http.StatusServiceUnavailable, code, message, minRetryAfter))
 	}
 }
 
-// release ends the runner's ownership: nothing new starts, what runs ends in
-// its own time.
-type release struct{}
+// releaseOwnership ends the ownership of the runner: no new request starts, running ones
+// continue to their end.
+type releaseOwnership struct{}
 
-func (release) apply(r *runner) {
+func (releaseOwnership) apply(r *runner) {
 	r.released = true
-	r.refuseAll("runner_released", "the runner has another owner now")
+	r.refuseQueued("runner_released", "this daemon no longer owns the runner")
 }
 
-// idle asks how many requests of a model run; the ledger waits for none before
-// it orders an eviction.
-type idle struct {
+// countModel counts the running requests of a model. An eviction is ordered only when
+// there are none.
+type countModel struct {
 	model string
 	reply chan int
 }
 
-func (e idle) apply(r *runner) { e.reply <- r.perModel[e.model] }
+func (e countModel) apply(r *runner) { e.reply <- r.perModel[e.model] }
 
-// runObserve asks the endpoint what it holds, again and again.
+// runObserve observes the endpoint at a fixed interval.
 func (r *runner) runObserve() {
 	defer r.wg.Done()
 	for {
-		asked := r.mgr.clock.Now()
+		requestedAt := r.mgr.clock.Now()
 		obs, err := r.observe(r.ctx)
 		if r.ctx.Err() != nil {
 			return
 		}
 		if errors.Is(err, core.ErrNotFound) && r.kind == tree.KindPlain {
-			err = nil // plain services need not report anything
+			err = nil // plain services need not implement the state interface
 		}
-		r.must(observed{obs, err})
+		r.send(observation{obs, err})
 		if r.ledger != nil && err == nil {
-			r.ledger.observe(obs, asked)
+			r.ledger.offerObservation(obs, requestedAt)
 		}
 		select {
 		case <-r.ctx.Done():
 			return
-		case <-r.mgr.clock.After(observeEvery):
+		case <-r.mgr.clock.After(observeInterval):
 		}
 	}
 }
 
-// publish makes the runner's report for the directory.
-func (r *runner) publish() {
+// updateReport updates the runner's report for the directory. The report lists no models
+// and no service while the endpoint has not been observed, is unreachable or is released.
+func (r *runner) updateReport() {
 	rep := directory.Report{
 		Runner:  r.id,
 		Place:   r.spec.Place,
@@ -354,7 +358,7 @@
 		Slots:   r.spec.Slots,
 		Running: len(r.running),
 		Queued:  r.queue.Len(),
-		Wait:    r.wait(core.ClassNormal),
+		Wait:    r.expectedWait(core.ClassNormal),
 		Leaving: r.isLeaving(),
 		At:      r.mgr.clock.Now(),
 	}
@@ -367,37 +371,37 @@
 		}
 	}
 	slices.Sort(rep.Models)
-	if !r.seen || r.misses >= missesToLose || r.released {
+	if !r.everObserved || r.misses >= unreachableAfter || r.released {
 		rep.Models, rep.Service = nil, ""
 	}
 	r.mu.Lock()
 	r.report = rep
 	r.meanCost = r.cost
-	r.missing = r.misses >= missesToLose
+	r.unreachable = r.misses >= unreachableAfter
 	r.mu.Unlock()
 }
 
-// takeReport returns the runner's report, and whether it should be given to the
-// directory now: it has changed, or the last one given is a while old.
-func (r *runner) takeReport() (directory.Report, bool) {
+// reportIfDue returns the runner's report and whether it should be sent to the directory
+// now: it has changed, or the last one was sent at least unchangedReportInterval before.
+func (r *runner) reportIfDue() (directory.Report, bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	rep := r.report
-	last := r.given
-	due := rep.At.Sub(last.At) >= repeatEvery || rep.Running != last.Running || rep.Queued != last.Queued ||
-		rep.Leaving != last.Leaving || !slices.Equal(rep.Models, last.Models)
+	previous := r.lastReport
+	due := rep.At.Sub(previous.At) >= unchangedReportInterval || rep.Running != previous.Running || rep.Queued != previous.Queued ||
+		rep.Leaving != previous.Leaving || !slices.Equal(rep.Models, previous.Models)
 	if due {
-		r.given = rep
+		r.lastReport = rep
 	}
 	return rep, due
 }
 
-// close ends the runner after its running attempts.
+// close releases the runner and stops it once its running attempts have ended.
 func (r *runner) close() {
-	r.must(release{})
+	r.send(releaseOwnership{})
 	for {
 		reply := make(chan int, 1)
-		r.must(count{reply})
+		r.send(countRunning{reply})
 		select {
 		case n := <-reply:
 			if n == 0 {
@@ -408,11 +412,11 @@
 		case <-r.ctx.Done():
 			return
 		}
-		<-r.mgr.clock.After(tickEvery)
+		<-r.mgr.clock.After(tickInterval)
 	}
 }
 
-// count asks how many attempts run.
-type count struct{ reply chan int }
+// countRunning counts the running attempts.
+type countRunning struct{ reply chan int }
 
-func (e count) apply(r *runner) { e.reply <- len(r.running) }
+func (e countRunning) apply(r *runner) { e.reply <- len(r.running) }
--- a/coordination/route/budget.go
+++ b/coordination/route/budget.go
@@ -8,33 +8,33 @@
 )
 
 const (
-	retryShare = 0.1 // of first tries
+	retryShare = 0.1 // retries per first attempt
 	retryBurst = 10
-	// penaltyStep is added to a runner's cost for each failed attempt and
-	// halves every penaltyHalf, so that it is probed back slowly.
-	penaltyStep = 500 * time.Millisecond
-	penaltyHalf = 2 * time.Second
-	penaltyMax  = 10 * time.Second
+	// penaltyStep is added to a runner's cost for each failed attempt. The penalty halves
+	// every penaltyHalfLife, so that requests return to the runner slowly.
+	penaltyStep     = 500 * time.Millisecond
+	penaltyHalfLife = 2 * time.Second
+	maxPenalty      = 10 * time.Second
 )
 
-// Budget bounds retries to a share of first tries. Without it a failing place
-// doubles the load on the places that are left just when they are full.
+// Budget bounds retries to a share of first attempts. Without it, a failing data centre
+// would double the load on the remaining ones just when they are full.
 type Budget struct {
 	mu     sync.Mutex
 	tokens float64
 }
 
-// NewBudget returns a budget that allows a first burst.
+// NewBudget returns a budget that starts with retryBurst retries.
 func NewBudget() *Budget { return &Budget{tokens: retryBurst} }
 
-// First counts a first try.
+// First counts a first attempt, which adds retryShare of a retry to the budget.
 func (b *Budget) First() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.tokens = min(b.tokens+retryShare, retryBurst)
 }
 
-// Retry takes a token; false when there is none.
+// Retry takes one retry from the budget; it returns false if there is none.
 func (b *Budget) Retry() bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -45,7 +45,7 @@
 	return true
 }
 
-// Health remembers which runners failed lately.
+// Health keeps a penalty for each runner with recent failures.
 type Health struct {
 	clock core.Clock
 	mu    sync.Mutex
@@ -53,32 +53,32 @@
 }
 
 type mark struct {
-	penalty time.Duration
-	at      time.Time
+	penalty  time.Duration
+	markedAt time.Time
 }
 
-// NewHealth returns a Health without marks.
+// NewHealth returns a Health without penalties.
 func NewHealth(clock core.Clock) *Health {
 	return &Health{clock: clock, marks: map[string]mark{}}
 }
 
-// Failed marks a runner.
+// Failed raises a runner's penalty by penaltyStep, up to maxPenalty.
 func (h *Health) Failed(runner string) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	now := h.clock.Now()
-	p := min(penaltyMax, h.marks[runner].now(now)+penaltyStep)
-	h.marks[runner] = mark{penalty: p, at: now}
+	penalty := min(maxPenalty, h.marks[runner].remaining(now)+penaltyStep)
+	h.marks[runner] = mark{penalty: penalty, markedAt: now}
 }
 
-// Worked clears a runner's mark.
+// Worked clears a runner's penalty.
 func (h *Health) Worked(runner string) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	delete(h.marks, runner)
 }
 
-// Penalty is what is left of a runner's mark.
+// Penalty returns what remains of a runner's penalty.
 func (h *Health) Penalty(runner string) time.Duration {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -86,11 +86,11 @@
 	if !ok {
 		return 0
 	}
-	return m.now(h.clock.Now())
+	return m.remaining(h.clock.Now())
 }
 
-func (m mark) now(t time.Time) time.Duration {
-	halvings := t.Sub(m.at) / penaltyHalf
+func (m mark) remaining(now time.Time) time.Duration {
+	halvings := now.Sub(m.markedAt) / penaltyHalfLife
 	if halvings > 20 {
 		return 0
 	}
