--- a/coordination/entry/addresses.go
+++ b/coordination/entry/addresses.go
@@ -10,43 +10,47 @@
 	"primroseward/state/directory"
 )
 
-// maxAddresses bounds an answer to the question which address to use.
+// maxAddresses is the largest number of daemons that Addresses returns.
 const maxAddresses = 4
 
-// Address is one daemon that a caller may use.
+// Address is a daemon that a caller may send its requests to.
 type Address struct {
-	Member string         `json:"member"`
-	Place  string         `json:"place"`
-	Addr   netip.AddrPort `json:"addr"`
-	Owner  bool           `json:"owner"` // owns a runner of the model asked for
+	Member     string         `json:"member"`
+	DataCentre string         `json:"place"`
+	Addr       netip.AddrPort `json:"addr"`
+	Owner      bool           `json:"owner"` // whether the daemon owns a runner of the requested model
 }
 
-// Addresses returns the daemons that a caller in a place should use for a
-// model, best first: owners of its runners, which save the request a hop, then
-// others, those of the caller's place first.
-func (e *Entry) Addresses(ctx context.Context, model, place string) []Address {
+// Addresses returns the daemons that a caller in dataCentre should use for a
+// model, best first. Owners of the model's runners come first, since a request
+// to them needs no hop to another daemon. Other daemons follow, those in the
+// caller's data centre first.
+func (e *Entry) Addresses(ctx context.Context, model, dataCentre string) []Address {
 	var out []Address
 	add := func(m core.Member, isOwner bool) {
-		known := slices.ContainsFunc(out, func(a Address) bool { return a.Member == m.Name })
-		if m.State == core.MemberAlive && !known && len(out) < maxAddresses {
-			out = append(out, Address{Member: m.Name, Place: m.Place, Addr: m.Caller, Owner: isOwner})
+		listed := slices.ContainsFunc(out, func(a Address) bool { return a.Member == m.Name })
+		if m.State == core.MemberAlive && !listed && len(out) < maxAddresses {
+			out = append(out, Address{Member: m.Name, DataCentre: m.Place, Addr: m.Caller, Owner: isOwner})
 		}
 	}
 	if model != "" {
-		for _, m := range e.owners(ctx, model, place) {
+		for _, m := range e.runnerOwners(ctx, model, dataCentre) {
 			add(m, true)
 		}
 	}
 	key := "entries/" + NewID()
-	for _, where := range []string{place, ""} {
-		for _, m := range e.members.Rank(key, where, maxAddresses) {
+	for _, preferred := range []string{dataCentre, ""} {
+		for _, m := range e.members.Rank(key, preferred, maxAddresses) {
 			add(m, false)
 		}
 	}
 	return out
 }
 
-func (e *Entry) owners(ctx context.Context, model, place string) []core.Member {
+// runnerOwners returns the owners of the model's runners in allowed data
+// centres. Those of runners in dataCentre come first, then those with the
+// shortest expected wait.
+func (e *Entry) runnerOwners(ctx context.Context, model, dataCentre string) []core.Member {
 	t := e.replica.Tree()
 	if t == nil {
 		return nil
@@ -54,18 +58,18 @@
 	reports, _ := e.locator.find(ctx, directory.ModelKey(model))
 	reports = slices.Clone(reports)
 	slices.SortStableFunc(reports, func(a, b directory.Report) int {
-		if (a.Place == place) != (b.Place == place) {
-			if a.Place == place {
+		if (a.Place == dataCentre) != (b.Place == dataCentre) {
+			if a.Place == dataCentre {
 				return -1
 			}
 			return 1
 		}
 		return int(a.Wait - b.Wait)
 	})
-	ask := Ask{Service: t.ServiceOf(model), Model: model}
+	request := Ask{Service: t.ServiceOf(model), Model: model}
 	var out []core.Member
 	for _, r := range reports {
-		if _, ok := t.Allowed(ask.coord(r.Place)); !ok || r.Leaving {
+		if _, ok := t.Allowed(request.coord(r.Place)); !ok || r.Leaving {
 			continue
 		}
 		if m, ok := owner.Of(e.members, r.Runner, r.Place); ok {
--- a/coordination/entry/ask.go
+++ b/coordination/entry/ask.go
@@ -11,44 +11,46 @@
 	"primroseward/state/tree"
 )
 
-// Ask is one request of a caller.
+// Ask is a request of a caller.
 type Ask struct {
-	ID       string // request id, the caller's own or a new one
-	Returns  bool   // the caller chose the id or a key and may come back
-	Scope    string // of the caller; ids and keys of others do not meet it
-	Key      string // idempotency key; empty: none
+	ID       string // request id, chosen by the caller or generated
+	Returns  bool   // the caller chose the id or sent a key, so it may reconnect and fetch the answer
+	Scope    string // namespace of the caller's ids and keys, which keeps them apart from those of other callers
+	Key      string // idempotency key; empty if there is none
 	Service  string
 	Model    string // empty for plain services
 	Class    core.Class
 	Method   string
-	Path     string // with query
+	Path     string // including the query string
 	Header   http.Header
 	Body     []byte
 	Prefix   []byte // start of the prompt
 	Stream   bool
-	Repeat   bool
+	Repeat   bool // the request is repeatable (idempotent)
 	Deadline time.Time
-	Digest   core.Digest // of what it asks; its caller's next attempt has the same
+	Digest   core.Digest // hash of the content; equal when a caller sends the same request again
 }
 
-// digest stands for what the request asks, whoever asks it.
+// digest returns the hash of the request's content, which does not depend on
+// the caller.
 func (a *Ask) digest() core.Digest {
 	return core.DigestOf(&core.Request{Method: a.Method, Host: a.Service + "/" + a.Model, Target: a.Path, Body: a.Body})
 }
 
-// holdKey is the name under which the answer is held.
-func (a *Ask) holdKey() string {
+// answerKey returns the key under which the answer is stored.
+func (a *Ask) answerKey() string {
 	if a.Key != "" {
-		return HoldKey(a.Scope, "key:"+a.Key)
+		return AnswerKey(a.Scope, "key:"+a.Key)
 	}
-	return HoldKey(a.Scope, a.ID)
+	return AnswerKey(a.Scope, a.ID)
 }
 
-// HoldKey joins a caller's scope and a request id.
-func HoldKey(scope, id string) string { return scope + "/" + id }
+// AnswerKey joins a caller's scope and a request id to the key of an answer.
+func AnswerKey(scope, id string) string { return scope + "/" + id }
 
-// print tells whether a resend is the same request.
-func (a *Ask) print() uint64 {
+// fingerprint returns a hash that shows whether a second request with the same
+// id or key has the same content.
+func (a *Ask) fingerprint() uint64 {
 	d := xxhash.New()
 	for _, part := range []string{a.Method, a.Path, a.Service, a.Model} {
 		_, _ = d.WriteString(part)
@@ -58,13 +60,17 @@
 	return d.Sum64()
 }
 
-func (a *Ask) dirKey() string {
+// directoryKey returns the key of the request's model or service in the
+// directory of runners.
+func (a *Ask) directoryKey() string {
 	if a.Model != "" {
 		return directory.ModelKey(a.Model)
 	}
 	return directory.ServiceKey(a.Service)
 }
 
-func (a *Ask) coord(place string) tree.Coord {
-	return tree.Coord{Service: a.Service, Model: a.Model, Place: place}
+// coord returns the coordinates by which the settings tree is evaluated for
+// the request.
+func (a *Ask) coord(dataCentre string) tree.Coord {
+	return tree.Coord{Service: a.Service, Model: a.Model, Place: dataCentre}
 }
--- a/coordination/entry/attempts.go
+++ b/coordination/entry/attempts.go
@@ -22,203 +22,216 @@
 )
 
 const (
-	// maxTries bounds how many runners one request is offered to.
-	maxTries = 8
-	// findFor is how long a request waits for a runner to be known again after
-	// a daemon's death; findEvery how often it looks.
-	findFor   = 4 * time.Second
-	findEvery = 100 * time.Millisecond
-	// resumeTries bounds how often a broken connection to an owner is replaced.
-	resumeTries = 3
-	resumePause = 200 * time.Millisecond
-	barTimeout  = 2 * time.Second
+	// maxAttempts is the largest number of attempts per request, including
+	// those that a runner's owner refuses.
+	maxAttempts = 8
+	// runnerTimeout is how long a request waits for a runner when the directory
+	// lists none, as after the failure of a daemon that owns runners.
+	// runnerPollInterval is the time between two lookups.
+	runnerTimeout      = 4 * time.Second
+	runnerPollInterval = 100 * time.Millisecond
+	// maxResumes is how often a broken connection to an owner is replaced
+	// within one attempt.
+	maxResumes    = 3
+	resumeDelay   = 200 * time.Millisecond
+	cancelTimeout = 2 * time.Second
 )
 
-// work is one request on its way to a whole answer.
-type work struct {
-	e       *Entry
-	ask     *Ask
-	held    *answer.Held
-	relay   *relay
-	refused map[string]bool // runners that refused it
-	last    *core.RequestError
-	runs    int // attempts that may have run
-	retries int
-	tries   int
+// execution is the state of a request between its first attempt and its
+// complete answer or final error.
+type execution struct {
+	e            *Entry
+	request      *Ask
+	held         *answer.Held
+	relay        *relay
+	excluded     map[string]bool // runners that refused the request or failed
+	lastErr      *core.RequestError
+	possibleRuns int // attempts that may have run
+	retries      int
+	attemptCount int
 }
 
-// attempts offers the request to runners until one answers whole. A refusal
-// before anything was sent costs nothing and goes on to the next runner. What
-// may have run is tried again only if it may be repeated, and within the
-// retry budget.
-func (e *Entry) attempts(ctx context.Context, a *Ask, held *answer.Held) error {
-	w := &work{e: e, ask: a, held: held, relay: newRelay(a, held.Buffer), refused: map[string]bool{}}
+// runAttempts sends the request to one runner after another until an answer is
+// complete. After a refusal, when nothing was sent to the runner, the next
+// runner is tried without charge to the retry budget. An attempt that may have
+// run is retried only if the request is repeatable and the retry budget allows
+// it.
+func (e *Entry) runAttempts(ctx context.Context, a *Ask, held *answer.Held) error {
+	x := &execution{e: e, request: a, held: held, relay: newRelay(a, held.Buffer), excluded: map[string]bool{}}
 	e.budget.First()
-	for ; w.tries < maxTries; w.tries++ {
-		runner, err := w.choose(ctx)
+	for ; x.attemptCount < maxAttempts; x.attemptCount++ {
+		runner, err := x.chooseRunner(ctx)
 		if err != nil {
 			return err
 		}
 		if retry, ok := e.guard.Admit(ctx, a.Digest); !ok {
-			return core.HeldBack(w.runs, retry)
+			return core.HeldBack(x.possibleRuns, retry)
 		}
-		err = w.once(ctx, runner)
+		err = x.attempt(ctx, runner)
 		if err == nil {
 			return nil
 		}
-		if stop := w.judge(ctx, runner, err); stop == errWhole {
+		if stop := x.afterFailure(ctx, runner, err); stop == errAnswerComplete {
 			return nil
 		} else if stop != nil {
 			return stop
 		}
 	}
-	return w.last
+	return x.lastErr
 }
 
-// errWhole says that an attempt failed after the answer was whole in effect.
-var errWhole = errors.New("the answer is whole")
+// errAnswerComplete means that an attempt failed after the caller had received
+// all the content of the answer.
+var errAnswerComplete = errors.New("the answer is already complete")
 
-// judge decides what follows a failed attempt; nil means another attempt.
-func (w *work) judge(ctx context.Context, runner directory.Report, err error) error {
+// afterFailure returns the error to end the request with after a failed
+// attempt. It returns nil if another attempt should follow, and
+// errAnswerComplete if the answer needs no further attempt.
+func (x *execution) afterFailure(ctx context.Context, runner directory.Report, err error) error {
 	re := core.AsRequestError(err)
-	w.e.log.Info("attempt failed", zap.String("request", w.ask.ID), zap.String("runner", runner.Runner),
+	x.e.log.Info("attempt failed", zap.String("request", x.request.ID), zap.String("runner", runner.Runner),
 		zap.String("outcome", string(re.Outcome)), zap.String("code", re.Code), zap.String("cause", re.Message))
 	if ctx.Err() != nil {
-		return w.final(re)
+		return x.finalError(re)
 	}
 	if re.Outcome == core.OutcomeNotRun {
-		w.refused[runner.Runner] = true
-		w.keepLast(re)
+		x.excluded[runner.Runner] = true
+		x.recordRefusal(re)
 		return nil
 	}
-	w.runs++
-	w.e.health.Failed(runner.Runner)
-	w.last = re
-	if !w.ask.Repeat {
+	x.possibleRuns++
+	x.e.health.Failed(runner.Runner)
+	x.lastErr = re
+	if !x.request.Repeat {
 		return re
 	}
-	if w.relay.complete(ctx) {
-		return errWhole
+	if x.relay.completeStream(ctx) {
+		return errAnswerComplete
 	}
-	if !w.relay.canContinue() {
+	if !x.relay.canContinue() {
 		return re
 	}
-	if !w.e.budget.Retry() {
+	if !x.e.budget.Retry() {
 		re.Retry = time.Second
 		return re
 	}
-	w.e.count("retries")
-	w.retries++
-	w.refused[runner.Runner] = true
+	x.e.count("retries")
+	x.retries++
+	x.excluded[runner.Runner] = true
 	return nil
 }
 
-// final answers a request whose time is over or whose caller has gone.
-func (w *work) final(re *core.RequestError) error {
-	if w.last != nil && w.last.Outcome == core.OutcomeMayHaveRun {
-		return w.last
+// finalError returns the error of a request whose deadline has passed or whose
+// caller has disconnected. An earlier attempt that may have run takes
+// precedence over the last error.
+func (x *execution) finalError(re *core.RequestError) error {
+	if x.lastErr != nil && x.lastErr.Outcome == core.OutcomeMayHaveRun {
+		return x.lastErr
 	}
 	return re
 }
 
-// keepLast remembers the refusal that tells most: one that a later try would
-// get past soonest.
-func (w *work) keepLast(re *core.RequestError) {
+// recordRefusal keeps the refusal with the shortest retry delay as the error for
+// the caller. An error of an attempt that may have run is never replaced.
+func (x *execution) recordRefusal(re *core.RequestError) {
 	switch {
-	case w.last != nil && w.last.Outcome == core.OutcomeMayHaveRun:
-	case w.last == nil || re.Retry > 0 && (w.last.Retry == 0 || re.Retry < w.last.Retry):
-		w.last = re
+	case x.lastErr != nil && x.lastErr.Outcome == core.OutcomeMayHaveRun:
+	case x.lastErr == nil || re.Retry > 0 && (x.lastErr.Retry == 0 || re.Retry < x.lastErr.Retry):
+		x.lastErr = re
 	}
 }
 
-// choose finds a runner. When none is known, it looks again for a while: after
-// a daemon's death its runners are unknown until another one owns them.
-func (w *work) choose(ctx context.Context) (directory.Report, error) {
-	until := w.e.clock.Now().Add(findFor)
+// chooseRunner returns the best runner for the next attempt. When the directory
+// lists none, it polls for up to runnerTimeout: after a daemon fails, its runners
+// are missing from the directory until other daemons own them.
+func (x *execution) chooseRunner(ctx context.Context) (directory.Report, error) {
+	giveUpAt := x.e.clock.Now().Add(runnerTimeout)
 	for {
-		candidates, known := w.candidates(ctx)
-		ask := route.Ask{Place: w.e.members.Self().Place, Prefix: w.ask.Prefix}
-		if i := ask.Choose(candidates); i >= 0 {
+		candidates, known := x.candidates(ctx)
+		requirements := route.Ask{Place: x.e.members.Self().Place, Prefix: x.request.Prefix}
+		if i := requirements.Choose(candidates); i >= 0 {
 			return candidates[i].Report, nil
 		}
-		if known && w.last != nil {
-			return directory.Report{}, w.last
+		if known && x.lastErr != nil {
+			return directory.Report{}, x.lastErr
 		}
-		if !w.e.clock.Now().Before(until) {
-			return directory.Report{}, w.none()
+		if !x.e.clock.Now().Before(giveUpAt) {
+			return directory.Report{}, x.noRunnerError()
 		}
 		select {
 		case <-ctx.Done():
-			return directory.Report{}, w.none()
-		case <-w.e.clock.After(findEvery):
+			return directory.Report{}, x.noRunnerError()
+		case <-x.e.clock.After(runnerPollInterval):
 		}
 	}
 }
 
-// none explains that no runner serves the request now.
-func (w *work) none() error {
-	if w.last != nil {
-		return w.last
+// noRunnerError returns the error for a request that no runner can serve now.
+func (x *execution) noRunnerError() error {
+	if x.lastErr != nil {
+		return x.lastErr
 	}
-	return core.NotRun(http.StatusServiceUnavailable, "no_runner", "no runner in the allowed places serves this now", 2*time.Second)
+	return core.NotRun(http.StatusServiceUnavailable, "no_runner", "no runner in the allowed data centres serves this model or service now", 2*time.Second)
 }
 
-// candidates returns the runners that may be asked, and whether any is known
-// in the allowed places, asked or not. A runner that refused is asked again
-// only where its refusal is likely to be out of date.
-func (w *work) candidates(ctx context.Context) ([]route.Candidate, bool) {
-	t := w.e.replica.Tree()
-	reports, sent := w.e.locator.find(ctx, w.ask.dirKey())
+// candidates returns the runners in allowed data centres that the next attempt
+// may use. known is false if there are none and no excluded runner may still be
+// overloaded or at its limit. Excluded runners then become eligible again, since
+// refusals for other reasons are likely to be out of date.
+func (x *execution) candidates(ctx context.Context) ([]route.Candidate, bool) {
+	t := x.e.replica.Tree()
+	reports, sent := x.e.locator.find(ctx, x.request.directoryKey())
 	var out []route.Candidate
 	known := false
 	for _, r := range reports {
-		if _, ok := t.Allowed(w.ask.coord(r.Place)); !ok || r.Leaving {
+		if _, ok := t.Allowed(x.request.coord(r.Place)); !ok || r.Leaving {
 			continue
 		}
-		owned, ok := owner.Of(w.e.members, r.Runner, r.Place)
+		m, ok := owner.Of(x.e.members, r.Runner, r.Place)
 		if !ok {
 			continue
 		}
-		r.Owner = owned.Name
-		if w.refused[r.Runner] {
-			known = known || w.last != nil && (w.last.Code == core.CodeOverloaded || w.last.Code == core.CodeLimited)
+		r.Owner = m.Name
+		if x.excluded[r.Runner] {
+			known = known || x.lastErr != nil && (x.lastErr.Code == core.CodeOverloaded || x.lastErr.Code == core.CodeLimited)
 			continue
 		}
 		known = true
-		out = append(out, route.Candidate{Report: r, Sent: sent[r.Runner], Penalty: w.e.health.Penalty(r.Runner)})
+		out = append(out, route.Candidate{Report: r, Sent: sent[r.Runner], Penalty: x.e.health.Penalty(r.Runner)})
 	}
 	if len(out) == 0 && !known {
-		clear(w.refused)
+		clear(x.excluded)
 	}
 	return out, known
 }
 
-// once makes one attempt at a runner and copies its answer.
-func (w *work) once(ctx context.Context, runner directory.Report) error {
+// attempt makes one attempt at a runner and copies its answer.
+func (x *execution) attempt(ctx context.Context, runner directory.Report) error {
 	id := uuid.NewString()
 	ctx, span := otel.Tracer("primroseward").Start(ctx, "attempt")
 	span.SetAttributes(attribute.String("runner", runner.Runner), attribute.String("owner", runner.Owner), attribute.String("attempt", id))
 	defer span.End()
-	w.e.locator.dispatched(w.ask.dirKey(), runner.Runner)
-	w.relay.begin(runner)
-	req := w.request(id, runner.Runner)
+	x.e.locator.countSent(x.request.directoryKey(), runner.Runner)
+	x.relay.beginAttempt(runner)
+	req := x.newRequest(id, runner.Runner)
 	var err error
-	if runner.Owner == w.e.members.Self().Name {
-		err = w.local(ctx, req)
+	if runner.Owner == x.e.members.Self().Name {
+		err = x.attemptLocal(ctx, req)
 	} else {
-		err = w.remote(ctx, runner.Owner, req)
+		err = x.attemptRemote(ctx, runner.Owner, req)
 	}
 	if err == nil {
-		err = w.relay.end(ctx)
+		err = x.relay.finish(ctx)
 	}
 	if err == nil {
-		w.e.health.Worked(runner.Runner)
+		x.e.health.Worked(runner.Runner)
 	}
 	return err
 }
 
-func (w *work) request(id, runner string) owner.Request {
-	a := w.ask
+// newRequest returns the message of an attempt for the runner's owner.
+func (x *execution) newRequest(id, runner string) owner.Request {
+	a := x.request
 	return owner.Request{
 		Request:  a.ID,
 		Attempt:  id,
@@ -230,50 +243,54 @@
 		Method:   a.Method,
 		Path:     a.Path,
 		Header:   a.Header,
-		Body:     w.relay.body(),
+		Body:     x.relay.nextBody(),
 		Repeat:   a.Repeat,
-		Retry:    w.retries > 0,
+		Retry:    x.retries > 0,
 		Digest:   a.Digest,
 	}
 }
 
-// local runs an attempt at a runner that this daemon owns.
-func (w *work) local(ctx context.Context, req owner.Request) error {
-	at := w.e.owner.Dispatch(ctx, req)
-	detach := at.Buffer.Attach()
+// attemptLocal makes an attempt at a runner that this daemon owns.
+func (x *execution) attemptLocal(ctx context.Context, req owner.Request) error {
+	running := x.e.owner.Dispatch(ctx, req)
+	detach := running.Buffer.Attach()
 	defer detach()
-	head, err := at.Buffer.Head(ctx)
+	head, err := running.Buffer.Head(ctx)
 	if err != nil {
-		return w.leave(ctx, at.Attempt, err)
+		return x.abandon(ctx, running.Attempt, err)
 	}
-	w.relay.SetHead(*head)
+	x.relay.SetHead(*head)
 	for offset := int64(0); ; {
-		data, whole, err := at.Buffer.Next(ctx, offset)
+		data, whole, err := running.Buffer.Next(ctx, offset)
 		if err != nil {
-			return w.leave(ctx, at.Attempt, err)
+			return x.abandon(ctx, running.Attempt, err)
 		}
 		if whole {
 			return nil
 		}
-		if err := w.relay.Append(ctx, data); err != nil {
-			return w.leave(ctx, at.Attempt, err)
+		if err := x.relay.Append(ctx, data); err != nil {
+			return x.abandon(ctx, running.Attempt, err)
 		}
 		offset += int64(len(data))
 	}
 }
 
-func (w *work) leave(ctx context.Context, attempt string, err error) error {
+// abandon handles an error while the answer of a local attempt is read. If the
+// request has ended, it cancels the attempt; only an attempt that had not been
+// sent counts as not run.
+func (x *execution) abandon(ctx context.Context, attempt string, err error) error {
 	if ctx.Err() == nil {
 		return err
 	}
-	if w.e.owner.Cancel(attempt) {
-		return core.NotRun(http.StatusServiceUnavailable, "cancelled", "the request ended before it was sent", 0)
+	if x.e.owner.Cancel(attempt) {
+		return core.NotRun(http.StatusServiceUnavailable, "cancelled", "the request was cancelled before it was sent", 0)
 	}
-	return w.ranOut(err)
+	return x.deadlineError(err)
 }
 
-// ranOut is the error of an attempt that this entry stopped reading.
-func (w *work) ranOut(err error) error {
+// deadlineError returns the error of an attempt whose answer this entry stopped
+// reading: err itself if it is a RequestError, otherwise a timeout.
+func (x *execution) deadlineError(err error) error {
 	var re *core.RequestError
 	if errors.As(err, &re) {
 		return re
@@ -283,89 +300,96 @@
 	return out
 }
 
-// remote runs an attempt at another daemon. When the connection breaks or goes
-// silent, the answer is read on over a new one; when the owner has never had
-// the attempt, it is barred there, and only then is it certain not to run.
-func (w *work) remote(ctx context.Context, ownerName string, req owner.Request) error {
-	m, err := w.e.members.Get(ownerName)
+// attemptRemote makes an attempt at a runner that another daemon owns. When the
+// connection breaks or stalls, the rest of the answer is read over a new one. When
+// the owner has not received the attempt, it is barred there; only then is it
+// certain that the attempt does not run.
+func (x *execution) attemptRemote(ctx context.Context, ownerName string, req owner.Request) error {
+	m, err := x.e.members.Get(ownerName)
 	if err != nil {
-		return core.NotRun(http.StatusServiceUnavailable, "owner_unknown", "the runner's owner is not known", time.Second)
+		return core.NotRun(http.StatusServiceUnavailable, "owner_unknown", "the runner's owner is not in the member list", time.Second)
 	}
-	began := w.e.clock.Now()
-	from := w.relay.received()
-	stream, err := w.e.dial(m.Peer).Dispatch(ctx, connect.NewRequest(DispatchToWire(req, began)))
+	sentAt := x.e.clock.Now()
+	startOffset := x.relay.received()
+	stream, err := x.e.dial(m.Peer).Dispatch(ctx, connect.NewRequest(DispatchToWire(req, sentAt)))
 	if err == nil {
-		err = w.read(ctx, stream, req.Attempt, 0)
+		err = x.readFrames(ctx, stream, req.Attempt, 0)
 		_ = stream.Close()
 	} else {
 		err = peer.Unwrap(err)
 	}
-	if peer.NeverSent(err) && w.relay.received() == from {
-		return core.NotRun(http.StatusServiceUnavailable, "owner_unreachable", "the runner's owner takes no connections", time.Second)
+	if peer.NeverSent(err) && x.relay.received() == startOffset {
+		return core.NotRun(http.StatusServiceUnavailable, "owner_unreachable", "cannot connect to the runner's owner", time.Second)
 	}
-	for try := 0; errors.Is(err, core.ErrUnavailable) && try < resumeTries && w.worthResuming(ctx, m); try++ {
-		w.e.count("resumes")
-		err = w.resume(ctx, m, req.Attempt, from)
+	for try := 0; errors.Is(err, core.ErrUnavailable) && try < maxResumes && x.shouldResume(ctx, m); try++ {
+		x.e.count("resumes")
+		err = x.resume(ctx, m, req.Attempt, startOffset)
 	}
 	if errors.Is(err, core.ErrNotFound) || ctx.Err() != nil {
-		return w.bar(m, req.Attempt, began, err)
+		return x.cancelRemote(m, req.Attempt, sentAt, err)
 	}
 	if errors.Is(err, core.ErrUnavailable) || errors.Is(err, core.ErrGone) {
-		return core.MayHaveRun("owner_lost", "the runner's owner was lost: "+err.Error())
+		return core.MayHaveRun("owner_lost", "cannot read the rest of the answer from the runner's owner: "+err.Error())
 	}
 	return err
 }
 
-// worthResuming says whether to ask the same owner again. Where the request
-// may be repeated, another runner answers sooner than one that others miss too.
-func (w *work) worthResuming(ctx context.Context, m core.Member) bool {
+// shouldResume reports whether to reconnect to the same owner. If the request is
+// repeatable and the owner is suspected of having failed, another runner answers
+// sooner.
+func (x *execution) shouldResume(ctx context.Context, m core.Member) bool {
 	if ctx.Err() != nil {
 		return false
 	}
-	now, err := w.e.members.Get(m.Name)
-	return !w.ask.Repeat || err == nil && now.State < core.MemberSuspect
+	now, err := x.e.members.Get(m.Name)
+	return !x.request.Repeat || err == nil && now.State < core.MemberSuspect
 }
 
-// read copies an attempt's frames from an offset.
-func (w *work) read(ctx context.Context, s *connect.ServerStreamForClient[peerv1.Frame], attempt string, offset int64) error {
-	return copyFrames(ctx, s, w.relay, attempt, offset)
+// readFrames copies the frames of an attempt, from offset on, to the caller's
+// answer.
+func (x *execution) readFrames(ctx context.Context, s *connect.ServerStreamForClient[peerv1.Frame], attempt string, offset int64) error {
+	return copyFrames(ctx, s, x.relay, attempt, offset)
 }
 
-func (w *work) resume(ctx context.Context, m core.Member, attempt string, from int64) error {
+// resume reads the rest of an attempt's answer over a new connection.
+// startOffset is the number of bytes received before the attempt began.
+func (x *execution) resume(ctx context.Context, m core.Member, attempt string, startOffset int64) error {
 	select {
 	case <-ctx.Done():
 		return core.ErrUnavailable
-	case <-w.e.clock.After(resumePause):
+	case <-x.e.clock.After(resumeDelay):
 	}
-	offset := w.relay.received() - from
-	stream, err := w.e.dial(m.Peer).Resume(ctx, connect.NewRequest(&peerv1.ResumeRequest{Attempt: attempt, Offset: offset}))
+	offset := x.relay.received() - startOffset
+	stream, err := x.e.dial(m.Peer).Resume(ctx, connect.NewRequest(&peerv1.ResumeRequest{Attempt: attempt, Offset: offset}))
 	if err != nil {
 		return peer.Unwrap(err)
 	}
 	defer stream.Close()
-	return w.read(ctx, stream, attempt, offset)
+	return x.readFrames(ctx, stream, attempt, offset)
 }
 
-// bar makes sure that an attempt never runs if it has not arrived yet, and
-// stops it if it has. Without the owner's word the outcome stays open. The word
-// counts only from the same process that the attempt was sent to, and only
-// while that one cannot have forgotten an attempt that ended: otherwise "never
-// seen" would be said of a request that has run.
-func (w *work) bar(m core.Member, attempt string, began time.Time, cause error) error {
-	ctx, cancel := context.WithTimeout(context.Background(), barTimeout)
+// cancelRemote cancels an attempt at its owner: an attempt that has not arrived
+// is barred and never runs, and one that has arrived is stopped. Unless the owner
+// confirms that the attempt is barred, the outcome is uncertain. The confirmation
+// counts only from the incarnation that the attempt was sent to, and only within
+// owner.AttemptLife, while that daemon still has the ids of ended attempts.
+// Otherwise an owner could confirm that it never received an attempt that has run.
+func (x *execution) cancelRemote(m core.Member, attempt string, sentAt time.Time, cause error) error {
+	ctx, cancel := context.WithTimeout(context.Background(), cancelTimeout)
 	defer cancel()
-	resp, err := w.e.dial(m.Peer).Cancel(ctx, connect.NewRequest(&peerv1.CancelRequest{Attempt: attempt}))
-	same := err == nil && resp.Msg.Barred && resp.Msg.Boot == m.Boot
-	if same && w.e.clock.Since(began) < owner.AttemptLife {
+	resp, err := x.e.dial(m.Peer).Cancel(ctx, connect.NewRequest(&peerv1.CancelRequest{Attempt: attempt}))
+	confirmed := err == nil && resp.Msg.Barred && resp.Msg.Boot == m.Boot
+	if confirmed && x.e.clock.Since(sentAt) < owner.AttemptLife {
 		return core.NotRun(http.StatusServiceUnavailable, "not_arrived", "the attempt had not reached the runner's owner", time.Second)
 	}
 	if cause == nil || errors.Is(cause, core.ErrNotFound) {
-		return core.MayHaveRun("owner_lost", "the runner's owner does not know the attempt")
+		return core.MayHaveRun("owner_lost", "the runner's owner has no record of the attempt")
 	}
-	return w.ranOut(cause)
+	return x.deadlineError(cause)
 }
 
-// DispatchToWire makes an attempt's message.
+// DispatchToWire encodes an attempt as a message. The deadline is sent as the
+// time left, in milliseconds.
 func DispatchToWire(r owner.Request, now time.Time) *peerv1.DispatchRequest {
 	msg := &peerv1.DispatchRequest{
 		Request: r.Request,
@@ -386,7 +410,7 @@
 	return msg
 }
 
-// DispatchFromWire reads an attempt's message.
+// DispatchFromWire decodes the message of an attempt.
 func DispatchFromWire(msg *peerv1.DispatchRequest, now time.Time) owner.Request {
 	return owner.Request{
 		Request:  msg.Request,
@@ -406,7 +430,8 @@
 	}
 }
 
-// digestFromWire reads a request's digest; daemons of an older version tell none.
+// digestFromWire decodes a request's digest. Daemons of an older version send
+// none, which leaves the digest zero.
 func digestFromWire(data []byte) core.Digest {
 	var d core.Digest
 	copy(d[:], data)
--- a/coordination/entry/demand.go
+++ b/coordination/entry/demand.go
@@ -8,21 +8,22 @@
 	"primroseward/core"
 )
 
-// Times of the two moving averages of demand. A burst shows in the fast one
-// first; quiet is believed only when the slow one says so.
+// Time constants of the two exponentially decaying averages of demand. A burst
+// shows in the fast average first. A drop in demand should be acted on only when
+// the slow average shows it too.
 const (
-	fastTime = 10 * time.Second
-	slowTime = 10 * time.Minute
+	fastTimeConstant = 10 * time.Second
+	slowTimeConstant = 10 * time.Minute
 )
 
-// Demand counts requests per model as two moving averages.
+// Demand measures the request rate per model as two moving averages.
 type Demand struct {
 	clock core.Clock
 	mu    sync.Mutex
 	rates map[string]*averages
 }
 
-// Rates is a model's demand in requests per second.
+// Rates holds a model's demand in requests per second.
 type Rates struct {
 	Fast float64
 	Slow float64
@@ -30,16 +31,16 @@
 
 type averages struct {
 	Rates
-	at time.Time
+	updatedAt time.Time
 }
 
-// NewDemand returns counters at zero.
+// NewDemand returns a Demand without any requests.
 func NewDemand(clock core.Clock) *Demand {
 	return &Demand{clock: clock, rates: map[string]*averages{}}
 }
 
-// Seen counts a request for a model.
-func (d *Demand) Seen(model string) {
+// Record counts a request for a model. Requests without a model are ignored.
+func (d *Demand) Record(model string) {
 	if model == "" {
 		return
 	}
@@ -47,22 +48,22 @@
 	defer d.mu.Unlock()
 	a := d.rates[model]
 	if a == nil {
-		a = &averages{at: d.clock.Now()}
+		a = &averages{updatedAt: d.clock.Now()}
 		d.rates[model] = a
 	}
 	a.decay(d.clock.Now())
-	a.Fast += 1 / fastTime.Seconds()
-	a.Slow += 1 / slowTime.Seconds()
+	a.Fast += 1 / fastTimeConstant.Seconds()
+	a.Slow += 1 / slowTimeConstant.Seconds()
 }
 
 func (a *averages) decay(now time.Time) {
-	dt := now.Sub(a.at).Seconds()
-	a.at = now
-	a.Fast *= math.Exp(-dt / fastTime.Seconds())
-	a.Slow *= math.Exp(-dt / slowTime.Seconds())
+	dt := now.Sub(a.updatedAt).Seconds()
+	a.updatedAt = now
+	a.Fast *= math.Exp(-dt / fastTimeConstant.Seconds())
+	a.Slow *= math.Exp(-dt / slowTimeConstant.Seconds())
 }
 
-// All returns the demand of each model seen.
+// All returns the demand for each model that was ever requested.
 func (d *Demand) All() map[string]Rates {
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/coordination/entry/demand_test.go
+++ b/coordination/entry/demand_test.go
@@ -8,11 +8,14 @@
 	"gotest.tools/v3/assert"
 )
 
-func TestDemandRisesFastAndFallsSlowly(t *testing.T) {
+// After one minute at 10 requests per second the fast average is near 10 and the
+// slow one still below 2. One minute without requests brings the fast average
+// close to 0, while the slow one keeps most of its value.
+func TestFastAndSlowDemandAverages(t *testing.T) {
 	clock := clockwork.NewFakeClock()
 	d := NewDemand(clock)
 	for range 600 {
-		d.Seen("m")
+		d.Record("m")
 		clock.Advance(100 * time.Millisecond)
 	}
 	r := d.All()["m"]
--- a/coordination/entry/entry.go
+++ b/coordination/entry/entry.go
@@ -1,6 +1,6 @@
-// Package entry serves callers' requests: it finds a runner that the settings
-// allow, sends the request to the runner's owner, and holds the answer so that
-// a caller whose connection broke can come back for it at any daemon.
+// Package entry serves callers' requests. It finds a runner that the settings
+// allow, sends the request to the runner's owner, and stores the answer, so that
+// a caller whose connection broke can fetch it from any daemon.
 package entry
 
 import (
@@ -26,21 +26,21 @@
 )
 
 const (
-	heldLife    = 5 * time.Minute
-	heldLimit   = 64 << 20
-	sweepEvery  = 5 * time.Second
-	pointers    = 2
-	pointTime   = time.Second
-	pointerLife = 15 * time.Minute
-	// AddressLife is how long a caller may use an address that it was given.
+	answerTTL      = 5 * time.Minute // of a finished answer
+	maxAnswerBytes = 64 << 20        // of all finished answers together
+	sweepInterval  = 5 * time.Second
+	pointerDaemons = 2 // daemons that store which daemon accepted a request
+	pointerTimeout = time.Second
+	pointerTTL     = 15 * time.Minute
+	// AddressLife is how long a caller may use an address that Addresses returned.
 	AddressLife = 10 * time.Second
-	// codeNoClaims is the code of answers to keyed requests while the platform is away,
-	// and claimRetry when these may come back.
-	codeNoClaims = "claim_unavailable"
-	claimRetry   = 2 * time.Second
+	// codeClaimUnavailable is the code of errors for requests with an idempotency
+	// key while the platform is unavailable, and claimRetryAfter their retry delay.
+	codeClaimUnavailable = "claim_unavailable"
+	claimRetryAfter      = 2 * time.Second
 )
 
-// Entry is the entry role of a daemon.
+// Entry is the entry role of a daemon: it accepts callers' requests.
 type Entry struct {
 	replica *tree.Replica
 	members core.Members
@@ -52,58 +52,58 @@
 	log     *zap.Logger
 	scope   tally.Scope
 
-	keep    *answer.Keep
-	points  *points
-	locator *locator
-	limits  *limit.Table
-	demand  *Demand
-	budget  *route.Budget
-	health  *route.Health
-	guard   core.Guard
+	answers  *answer.Keep
+	pointers *pointerTable
+	locator  *locator
+	limits   *limit.Table
+	demand   *Demand
+	budget   *route.Budget
+	health   *route.Health
+	guard    core.Guard
 
 	mu      sync.Mutex
-	running map[string]context.CancelFunc // by hold key
+	running map[string]context.CancelFunc // by answer key
 	wg      sync.WaitGroup
 	stop    context.CancelFunc
 }
 
-// Option changes an Entry.
+// Option configures an Entry.
 type Option func(*Entry)
 
-// WithLogger sets the log.
+// WithLogger sets the logger.
 func WithLogger(l *zap.Logger) Option { return func(e *Entry) { e.log = l } }
 
-// WithScope sets where metrics go.
+// WithScope sets the metrics scope.
 func WithScope(s tally.Scope) Option { return func(e *Entry) { e.scope = s } }
 
-// WithHeld bounds the answers held after they ended.
+// WithHeld sets how many bytes of finished answers are stored, and for how long.
 func WithHeld(limit int64, life time.Duration) Option {
-	return func(e *Entry) { e.keep = answer.NewKeep(e.clock, limit, life) }
+	return func(e *Entry) { e.answers = answer.NewKeep(e.clock, limit, life) }
 }
 
-// WithGuard asks a guard before each attempt.
+// WithGuard sets the guard that admits or refuses each attempt.
 func WithGuard(g core.Guard) Option { return func(e *Entry) { e.guard = g } }
 
-// New makes an Entry.
+// New returns an Entry.
 func New(replica *tree.Replica, members core.Members, dial peer.Dial, own *owner.Manager, dir *directory.Directory, claims *claim.Claims, clock core.Clock, opts ...Option) *Entry {
 	e := &Entry{
-		replica: replica,
-		members: members,
-		dial:    dial,
-		owner:   own,
-		dir:     dir,
-		claims:  claims,
-		clock:   clock,
-		log:     zap.NewNop(),
-		scope:   tally.NoopScope,
-		keep:    answer.NewKeep(clock, heldLimit, heldLife),
-		points:  newPoints(clock, pointerLife),
-		limits:  limit.New(clock, func() int { return len(members.All()) }),
-		demand:  NewDemand(clock),
-		budget:  route.NewBudget(),
-		health:  route.NewHealth(clock),
-		guard:   core.NoGuard{},
-		running: map[string]context.CancelFunc{},
+		replica:  replica,
+		members:  members,
+		dial:     dial,
+		owner:    own,
+		dir:      dir,
+		claims:   claims,
+		clock:    clock,
+		log:      zap.NewNop(),
+		scope:    tally.NoopScope,
+		answers:  answer.NewKeep(clock, maxAnswerBytes, answerTTL),
+		pointers: newPointerTable(clock, pointerTTL),
+		limits:   limit.New(clock, func() int { return len(members.All()) }),
+		demand:   NewDemand(clock),
+		budget:   route.NewBudget(),
+		health:   route.NewHealth(clock),
+		guard:    core.NoGuard{},
+		running:  map[string]context.CancelFunc{},
 	}
 	e.locator = newLocator(e)
 	for _, o := range opts {
@@ -112,7 +112,8 @@
 	return e
 }
 
-// Start begins to sweep.
+// Start starts the periodic removal of expired answers, pointers and cached
+// lookups.
 func (e *Entry) Start() {
 	ctx, cancel := context.WithCancel(context.Background())
 	e.stop = cancel
@@ -120,7 +121,7 @@
 	go e.runSweep(ctx)
 }
 
-// Stop waits for requests in progress.
+// Stop ends the periodic removal and waits for requests in progress.
 func (e *Entry) Stop() {
 	e.stop()
 	e.wg.Wait()
@@ -132,9 +133,9 @@
 		select {
 		case <-ctx.Done():
 			return
-		case <-e.clock.After(sweepEvery):
-			e.keep.Trim()
-			e.points.sweep()
+		case <-e.clock.After(sweepInterval):
+			e.answers.Trim()
+			e.pointers.sweep()
 			e.locator.sweep()
 		}
 	}
@@ -149,80 +150,85 @@
 	return len(e.running)
 }
 
-// HeldBytes returns the bytes of finished answers held.
-func (e *Entry) HeldBytes() int64 { return e.keep.Bytes() }
+// HeldBytes returns the size of the stored finished answers in bytes.
+func (e *Entry) HeldBytes() int64 { return e.answers.Bytes() }
 
-// Demand returns the demand seen by this entry.
+// Demand returns the demand measured by this entry.
 func (e *Entry) Demand() *Demand { return e.demand }
 
-// Tree returns the settings in force, nil before there are any.
+// Tree returns the settings in force, or nil before there are any.
 func (e *Entry) Tree() *tree.Tree { return e.replica.Tree() }
 
-// Begin starts a request, or joins it if its id or key is known, and returns
-// the buffer that its answer arrives in.
+// Begin starts a request and returns the buffer that receives its answer. If a
+// request with the same id or key is already stored here, Begin returns the
+// buffer of that one.
 func (e *Entry) Begin(ctx context.Context, a *Ask) (*answer.Buffer, error) {
 	t := e.replica.Tree()
 	if t == nil {
 		return nil, core.NotRun(http.StatusServiceUnavailable, "starting", "there are no settings yet", time.Second)
 	}
-	eff := t.Effective(a.coord(""))
-	if int64(len(a.Body)) > eff.Body {
-		return nil, core.NotRun(http.StatusRequestEntityTooLarge, "body_too_large", "the body is over the limit of the settings", 0)
+	settings := t.Effective(a.coord(""))
+	if int64(len(a.Body)) > settings.Body {
+		return nil, core.NotRun(http.StatusRequestEntityTooLarge, "body_too_large", "the request body exceeds the limit in the settings", 0)
 	}
-	held, fresh := e.keep.Begin(a.holdKey(), a.print())
-	if !fresh {
-		if held.Print != a.print() {
-			return nil, mismatch()
+	held, created := e.answers.Begin(a.answerKey(), a.fingerprint())
+	if !created {
+		if held.Print != a.fingerprint() {
+			return nil, keyReusedError()
 		}
 		e.count("joined")
 		return held.Buffer, nil
 	}
 	a.Digest = a.digest()
-	if left := e.guard.Held(a.Digest); left > 0 && !a.Returns {
-		e.keep.Forget(held)
-		return nil, core.HeldBack(0, left)
+	if retryAfter := e.guard.Held(a.Digest); retryAfter > 0 && !a.Returns {
+		e.answers.Forget(held)
+		return nil, core.HeldBack(0, retryAfter)
 	}
-	e.demand.Seen(a.Model)
-	done, err := e.limits.Enter(eff)
+	e.demand.Record(a.Model)
+	release, err := e.limits.Enter(settings)
 	if err != nil {
-		e.keep.Forget(held)
+		e.answers.Forget(held)
 		e.count("limited")
 		return nil, err
 	}
-	own, cancel := context.WithDeadline(context.WithoutCancel(ctx), a.Deadline)
+	runCtx, cancel := context.WithDeadline(context.WithoutCancel(ctx), a.Deadline)
 	e.mu.Lock()
-	e.running[a.holdKey()] = cancel
+	e.running[a.answerKey()] = cancel
 	e.mu.Unlock()
 	e.wg.Add(1)
-	go e.run(own, a, held, done)
+	go e.run(runCtx, a, held, release)
 	return held.Buffer, nil
 }
 
-func mismatch() *core.RequestError {
-	return core.NotRun(http.StatusUnprocessableEntity, "id_reused", "the request id or key was used for another request", 0)
+// keyReusedError returns the error for an id or key that belongs to a request
+// with other content.
+func keyReusedError() *core.RequestError {
+	return core.NotRun(http.StatusUnprocessableEntity, "id_reused", "the request id or key was already used for a different request", 0)
 }
 
-// Leave tells that a caller has gone before the answer was whole. Work that it
-// cannot come back for is stopped, unless it may not be repeated: that runs to
-// its end, since stopping half-way would leave it half done.
+// Leave handles a caller that disconnects before its answer is complete. The
+// request is cancelled if the caller cannot fetch the answer later. A request
+// that is not repeatable runs to its end, since cancelling it could leave its
+// work half done.
 func (e *Entry) Leave(a *Ask) {
 	if a.Returns || !a.Repeat {
 		return
 	}
 	e.mu.Lock()
-	cancel := e.running[a.holdKey()]
+	cancel := e.running[a.answerKey()]
 	e.mu.Unlock()
 	if cancel != nil {
 		cancel()
 	}
 }
 
-// run carries a request to its end.
-func (e *Entry) run(ctx context.Context, a *Ask, held *answer.Held, done func()) {
+// run executes a request and ends its answer. release frees the slot that the
+// request occupies under the concurrency limit.
+func (e *Entry) run(ctx context.Context, a *Ask, held *answer.Held, release func()) {
 	defer e.wg.Done()
-	defer done()
+	defer release()
 	defer e.finish(a, held)
-	err := e.carry(ctx, a, held)
+	err := e.execute(ctx, a, held)
 	if err != nil {
 		held.Buffer.Fail(core.AsRequestError(err))
 		return
@@ -230,12 +236,12 @@
 	held.Buffer.Finish()
 }
 
-// finish keeps what a caller may come back for. A refusal is not kept: the
-// same id may be tried again.
+// finish stores an answer that its caller may fetch again. A refusal is not
+// stored, so that the caller can retry with the same id.
 func (e *Entry) finish(a *Ask, held *answer.Held) {
 	e.mu.Lock()
-	cancel := e.running[a.holdKey()]
-	delete(e.running, a.holdKey())
+	cancel := e.running[a.answerKey()]
+	delete(e.running, a.answerKey())
 	e.mu.Unlock()
 	cancel()
 	_, fail := held.Buffer.Done()
@@ -244,68 +250,71 @@
 		e.count("answered")
 	case fail.Outcome == core.OutcomeNotRun:
 		e.count("not_run")
-		e.keep.Forget(held)
+		e.answers.Forget(held)
 		return
 	default:
 		e.count("may_have_run")
 		if a.Repeat {
-			e.keep.Forget(held)
+			e.answers.Forget(held)
 			return
 		}
 	}
-	e.keep.Finished(held)
+	e.answers.Finished(held)
 }
 
-// carry finds whether the request is known elsewhere, claims it if need be and
-// runs it.
-func (e *Entry) carry(ctx context.Context, a *Ask, held *answer.Held) error {
+// execute joins the request if another daemon has accepted it already. Otherwise
+// it claims the key of a request that must run at most once, and runs it.
+func (e *Entry) execute(ctx context.Context, a *Ask, held *answer.Held) error {
 	if a.Returns {
-		found, err := e.joinElsewhere(ctx, a, held)
+		found, err := e.joinRemote(ctx, a, held)
 		if found || err != nil {
 			return err
 		}
 	}
-	once := !a.Repeat && a.Key != ""
-	if left := e.guard.Held(a.Digest); left > 0 {
-		if once {
-			return e.joinHeldBack(ctx, a, held, left)
+	atMostOnce := !a.Repeat && a.Key != ""
+	if retryAfter := e.guard.Held(a.Digest); retryAfter > 0 {
+		if atMostOnce {
+			return e.joinQuarantined(ctx, a, held, retryAfter)
 		}
-		return core.HeldBack(0, left)
+		return core.HeldBack(0, retryAfter)
 	}
-	e.point(a)
-	if once {
-		return e.carryOnce(ctx, a, held)
+	e.sendPointers(a)
+	if atMostOnce {
+		return e.executeOnce(ctx, a, held)
 	}
-	return e.attempts(ctx, a, held)
+	return e.runAttempts(ctx, a, held)
 }
 
-// joinHeldBack answers a keyed request that is held back: where its key was used before
-// it may have run, and only the claim tells.
-func (e *Entry) joinHeldBack(ctx context.Context, a *Ask, held *answer.Held, left time.Duration) error {
-	body, err := e.claims.Find(ctx, a.holdKey())
+// joinQuarantined answers a quarantined request that is not repeatable and has an
+// idempotency key. If the key was used before, the request may have run, which
+// only the claim on the platform shows.
+// retryAfter is the time until the hold on the request expires.
+func (e *Entry) joinQuarantined(ctx context.Context, a *Ask, held *answer.Held, retryAfter time.Duration) error {
+	body, err := e.claims.Find(ctx, a.answerKey())
 	switch {
 	case errors.Is(err, core.ErrNotFound):
-		return core.HeldBack(0, left)
+		return core.HeldBack(0, retryAfter)
 	case err != nil:
-		unknown := core.MayHaveRun(codeNoClaims, "the platform cannot tell now whether the key was used before")
-		unknown.Retry = claimRetry
+		unknown := core.MayHaveRun(codeClaimUnavailable, "the platform is unavailable, so it is unknown whether the key was used before")
+		unknown.Retry = claimRetryAfter
 		return unknown
 	}
 	return e.joinClaim(ctx, a, held, body)
 }
 
-// carryOnce runs a keyed request that may not be repeated. The claim comes
-// before anything is sent, so a second daemon that is given the same key at
-// the same time, or after this one died, finds it and never sends.
-func (e *Entry) carryOnce(ctx context.Context, a *Ask, held *answer.Held) error {
-	c, body, err := e.claims.Take(ctx, a.holdKey(), a.print())
+// executeOnce runs a request that is not repeatable and has an idempotency key.
+// The key is claimed on the platform before anything is sent. Another daemon that
+// receives the same key at the same time, or after this daemon has failed, finds
+// the claim and does not send the request.
+func (e *Entry) executeOnce(ctx context.Context, a *Ask, held *answer.Held) error {
+	c, body, err := e.claims.Take(ctx, a.answerKey(), a.fingerprint())
 	switch {
 	case errors.Is(err, core.ErrExists):
 		return e.joinClaim(ctx, a, held, body)
 	case err != nil:
-		return core.NotRun(http.StatusServiceUnavailable, codeNoClaims, "the platform cannot record the key now", claimRetry)
+		return core.NotRun(http.StatusServiceUnavailable, codeClaimUnavailable, "the key cannot be recorded on the platform now", claimRetryAfter)
 	}
-	err = e.attempts(ctx, a, held)
+	err = e.runAttempts(ctx, a, held)
 	var re *core.RequestError
 	if errors.As(err, &re) && re.Outcome == core.OutcomeNotRun {
 		e.claims.GiveBack(c)
@@ -313,22 +322,22 @@
 	return err
 }
 
-// joinClaim reads the answer from the daemon that claimed the key.
+// joinClaim fetches the answer from the daemon that claimed the key.
 func (e *Entry) joinClaim(ctx context.Context, a *Ask, held *answer.Held, body claim.Body) error {
-	if body.Print != a.print() {
-		return mismatch()
+	if body.Print != a.fingerprint() {
+		return keyReusedError()
 	}
 	unknown := core.MayHaveRun("already_claimed", "the key was used before and its answer is no longer held")
 	unknown.Status = http.StatusConflict
 	if body.Member == e.members.Self().Name {
 		return unknown
 	}
-	err := e.fetchInto(ctx, body.Member, a.holdKey(), held)
+	err := e.fetchAnswer(ctx, body.Member, a.answerKey(), held)
 	if errors.Is(err, core.ErrNotFound) || errors.Is(err, core.ErrGone) || errors.Is(err, core.ErrUnavailable) {
 		return unknown
 	}
 	return err
 }
 
-// NewID makes a request id.
+// NewID returns a new request id.
 func NewID() string { return uuid.NewString() }
--- a/coordination/entry/frames.go
+++ b/coordination/entry/frames.go
@@ -15,38 +15,38 @@
 	"primroseward/transport/peer"
 )
 
-// frames is a stream of frames from another daemon.
-type frames interface {
+// frameStream is a stream of frames from another daemon.
+type frameStream interface {
 	Receive() bool
 	Msg() *peerv1.Frame
 	Err() error
 }
 
-// sink takes an answer.
-type sink interface {
+// answerSink receives an answer.
+type answerSink interface {
 	SetHead(h answer.Head)
 	Append(ctx context.Context, data []byte) error
 }
 
-// copyFrames copies frames into a sink until the end marker. Data is checked
-// against its offset and the end against the length, so that neither a lost
-// nor a doubled frame passes, and frames of another attempt are refused. at is
-// the offset that was asked for.
-func copyFrames(ctx context.Context, s frames, into sink, attempt string, at int64) error {
+// copyFrames copies frames into dst until the end marker. It checks the offset of
+// each data frame and the length in the end marker, which detects lost and
+// duplicate frames. It refuses frames of another attempt, unless attempt is
+// empty. offset is the offset at which the data was requested to begin.
+func copyFrames(ctx context.Context, s frameStream, dst answerSink, attempt string, offset int64) error {
 	for s.Receive() {
 		f := s.Msg()
 		if attempt != "" && f.Attempt != attempt {
-			return errors.Join(core.ErrUnavailable, fmt.Errorf("frame of attempt %q", f.Attempt))
+			return errors.Join(core.ErrUnavailable, fmt.Errorf("unexpected frame of attempt %q", f.Attempt))
 		}
 		if f.Head != nil {
-			into.SetHead(headFromWire(f.Head))
+			dst.SetHead(headFromWire(f.Head))
 		}
 		if len(f.Data) > 0 {
-			if f.Offset != at {
-				return errors.Join(core.ErrUnavailable, fmt.Errorf("data at %d, want %d", f.Offset, at))
+			if f.Offset != offset {
+				return errors.Join(core.ErrUnavailable, fmt.Errorf("data frame at offset %d, want %d", f.Offset, offset))
 			}
-			at = f.Offset + int64(len(f.Data))
-			if err := into.Append(ctx, f.Data); err != nil {
+			offset = f.Offset + int64(len(f.Data))
+			if err := dst.Append(ctx, f.Data); err != nil {
 				return err
 			}
 		}
@@ -54,8 +54,8 @@
 			return FailFromWire(f.Fail)
 		}
 		if f.End != nil {
-			if f.End.Length != at {
-				return errors.Join(core.ErrUnavailable, fmt.Errorf("answer ends at %d, want %d", at, f.End.Length))
+			if f.End.Length != offset {
+				return errors.Join(core.ErrUnavailable, fmt.Errorf("answer ends at offset %d, want length %d", offset, f.End.Length))
 			}
 			return nil
 		}
@@ -66,7 +66,7 @@
 	return errors.Join(core.ErrUnavailable, errors.New("frames ended without an end marker"))
 }
 
-// SendFrames sends an answer from an offset to its end.
+// SendFrames sends an answer as frames, from an offset to its end.
 func SendFrames(ctx context.Context, buf *answer.Buffer, attempt string, offset int64, send func(*peerv1.Frame) error) error {
 	detach := buf.Attach()
 	defer detach()
@@ -92,6 +92,8 @@
 	}
 }
 
+// sendFail sends the failure of an answer as a frame. Any other error is
+// returned for the end of the RPC.
 func sendFail(err error, attempt string, send func(*peerv1.Frame) error) error {
 	var re *core.RequestError
 	if errors.As(err, &re) {
@@ -100,12 +102,12 @@
 	return peer.Wrap(err)
 }
 
-// FailToWire makes an error's message.
+// FailToWire encodes a request error as a message.
 func FailToWire(e *core.RequestError) *peerv1.Fail {
 	return &peerv1.Fail{Outcome: string(e.Outcome), Code: e.Code, Message: e.Message, Retry: e.Retry.Milliseconds(), Status: int32(e.Status)}
 }
 
-// FailFromWire reads an error's message. An outcome that is not known counts
+// FailFromWire decodes the message of a request error. An unknown outcome counts
 // as may_have_run.
 func FailFromWire(f *peerv1.Fail) *core.RequestError {
 	e := core.MayHaveRun(f.Code, f.Message)
@@ -129,12 +131,12 @@
 	return out
 }
 
-func headFromWire(w *peerv1.Head) answer.Head {
-	h := answer.Head{Status: int(w.Status), Header: http.Header{}}
-	for _, one := range w.Headers {
-		h.Header.Add(one.Name, one.Value)
+func headFromWire(msg *peerv1.Head) answer.Head {
+	h := answer.Head{Status: int(msg.Status), Header: http.Header{}}
+	for _, header := range msg.Headers {
+		h.Header.Add(header.Name, header.Value)
 	}
 	return h
 }
 
-var _ frames = (*connect.ServerStreamForClient[peerv1.Frame])(nil)
+var _ frameStream = (*connect.ServerStreamForClient[peerv1.Frame])(nil)
--- a/coordination/entry/held.go
+++ b/coordination/entry/held.go
@@ -15,141 +15,146 @@
 	"primroseward/transport/peer"
 )
 
-// points remembers which daemon took which request.
-type points struct {
+// pointerTable records which daemon accepted which request.
+type pointerTable struct {
 	clock core.Clock
-	life  time.Duration
+	ttl   time.Duration
 	mu    sync.Mutex
-	byKey map[string]point
+	byKey map[string]pointer
 }
 
-type point struct {
-	member string
-	at     time.Time
+type pointer struct {
+	member   string
+	storedAt time.Time
 }
 
-// maxPoints bounds the memory of pointers; beyond it the newest are refused.
-const maxPoints = 200000
+// maxPointers bounds the memory of pointers. When the table is full, new pointers
+// are dropped.
+const maxPointers = 200000
 
-func newPoints(clock core.Clock, life time.Duration) *points {
-	return &points{clock: clock, life: life, byKey: map[string]point{}}
+func newPointerTable(clock core.Clock, life time.Duration) *pointerTable {
+	return &pointerTable{clock: clock, ttl: life, byKey: map[string]pointer{}}
 }
 
-func (p *points) put(key, member string) {
+func (p *pointerTable) put(key, member string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if _, known := p.byKey[key]; known || len(p.byKey) < maxPoints {
-		p.byKey[key] = point{member: member, at: p.clock.Now()}
+	if _, stored := p.byKey[key]; stored || len(p.byKey) < maxPointers {
+		p.byKey[key] = pointer{member: member, storedAt: p.clock.Now()}
 	}
 }
 
-func (p *points) get(key string) (string, bool) {
+func (p *pointerTable) get(key string) (string, bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	one, ok := p.byKey[key]
-	return one.member, ok
+	found, ok := p.byKey[key]
+	return found.member, ok
 }
 
-func (p *points) sweep() {
+func (p *pointerTable) sweep() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	for key, one := range p.byKey {
-		if p.clock.Since(one.at) > p.life {
+	for key, stored := range p.byKey {
+		if p.clock.Since(stored.storedAt) > p.ttl {
 			delete(p.byKey, key)
 		}
 	}
 }
 
-// Point remembers which daemon took a request.
-func (e *Entry) Point(key, member string) { e.points.put(key, member) }
+// Point stores a pointer: which daemon accepted a request.
+func (e *Entry) Point(key, member string) { e.pointers.put(key, member) }
 
-// Find returns the daemon that holds a request's answer, as far as known here.
+// Find returns the daemon that stores a request's answer, from the answers and
+// pointers of this daemon.
 func (e *Entry) Find(key string) (string, error) {
-	if _, err := e.keep.Get(key); err == nil {
+	if _, err := e.answers.Get(key); err == nil {
 		return e.members.Self().Name, nil
 	}
-	if member, ok := e.points.get(key); ok {
+	if member, ok := e.pointers.get(key); ok {
 		return member, nil
 	}
 	return "", core.ErrNotFound
 }
 
-// point tells the daemons that the request's id hashes to where it is. It does
-// not hold up the request.
-func (e *Entry) point(a *Ask) {
-	key := a.holdKey()
+// sendPointers sends a pointer to this daemon to the daemons that the answer key
+// hashes to. It runs in the background and does not delay the request.
+func (e *Entry) sendPointers(a *Ask) {
+	key := a.answerKey()
 	self := e.members.Self().Name
-	for _, m := range e.members.Rank("req/"+key, "", pointers) {
+	for _, m := range e.members.Rank("req/"+key, "", pointerDaemons) {
 		if m.Name == self {
 			continue
 		}
 		e.wg.Add(1)
-		go e.runPoint(m, key, self)
+		go e.sendPointer(m, key, self)
 	}
 }
 
-func (e *Entry) runPoint(to core.Member, key, self string) {
+func (e *Entry) sendPointer(to core.Member, key, self string) {
 	defer e.wg.Done()
-	ctx, cancel := context.WithTimeout(context.Background(), pointTime)
+	ctx, cancel := context.WithTimeout(context.Background(), pointerTimeout)
 	defer cancel()
 	_, err := e.dial(to.Peer).Point(ctx, connect.NewRequest(&peerv1.Pointer{Request: key, Member: self}))
 	if err != nil {
-		e.log.Debug("pointer is not kept", zap.String("member", to.Name), zap.Error(err))
+		e.log.Debug("cannot send the pointer to an answer", zap.String("member", to.Name), zap.Error(err))
 	}
 }
 
-// locate asks the daemons that the id hashes to which one took a request.
+// locate returns the daemon that accepted a request, from this daemon's tables or
+// from the daemons that the key hashes to.
 func (e *Entry) locate(ctx context.Context, key string) (string, error) {
-	if member, err := e.Find(key); err == nil && e.lives(member) {
+	if member, err := e.Find(key); err == nil && e.isMember(member) {
 		return member, nil
 	}
 	self := e.members.Self().Name
-	for _, m := range e.members.Rank("req/"+key, "", pointers) {
+	for _, m := range e.members.Rank("req/"+key, "", pointerDaemons) {
 		if m.Name == self {
 			continue
 		}
-		ctx, cancel := context.WithTimeout(ctx, pointTime)
+		ctx, cancel := context.WithTimeout(ctx, pointerTimeout)
 		resp, err := e.dial(m.Peer).Find(ctx, connect.NewRequest(&peerv1.FindRequest{Request: key}))
 		cancel()
-		if err == nil && e.lives(resp.Msg.Member) {
+		if err == nil && e.isMember(resp.Msg.Member) {
 			return resp.Msg.Member, nil
 		}
 	}
 	return "", core.ErrNotFound
 }
 
-// lives says whether a pointer's daemon is still there. The one that took a
-// request may have handed its answer over and gone; others then know better.
-func (e *Entry) lives(member string) bool {
+// isMember reports whether a pointer's daemon is still a member. The daemon that
+// accepted a request may have handed its answer over and stopped; other daemons
+// then have a newer pointer.
+func (e *Entry) isMember(member string) bool {
 	_, err := e.members.Get(member)
 	return err == nil
 }
 
-// joinElsewhere reads the answer from the daemon that has taken the request
-// already. found is false when there is none and the request must be run.
-func (e *Entry) joinElsewhere(ctx context.Context, a *Ask, held *answer.Held) (found bool, err error) {
-	member, err := e.locate(ctx, a.holdKey())
+// joinRemote fetches the answer from the daemon that has accepted the request
+// already. found is false if there is none and the request has to run here.
+func (e *Entry) joinRemote(ctx context.Context, a *Ask, held *answer.Held) (found bool, err error) {
+	member, err := e.locate(ctx, a.answerKey())
 	if err != nil || member == e.members.Self().Name {
 		return false, nil
 	}
-	err = e.fetchInto(ctx, member, a.holdKey(), held)
+	err = e.fetchAnswer(ctx, member, a.answerKey(), held)
 	var re *core.RequestError
 	if err == nil || errors.As(err, &re) && re.Outcome == core.OutcomeMayHaveRun {
 		return true, err
 	}
 	if held.Buffer.Len() > 0 {
-		return true, core.MayHaveRun("holder_lost", "the daemon that held the answer was lost")
+		return true, core.MayHaveRun("holder_lost", "cannot read the rest of the answer from the daemon that stores it")
 	}
 	if errors.As(err, &re) || a.Repeat || a.Key != "" {
-		// Not run there, or safe to run again, or decided by the claim.
+		// The request did not run there, or is repeatable, or the claim decides.
 		return false, nil
 	}
-	lost := core.MayHaveRun("holder_lost", "another daemon took this request and cannot be asked")
-	return true, lost
+	unreadable := core.MayHaveRun("holder_lost", "another daemon accepted this request and its answer cannot be read")
+	return true, unreadable
 }
 
-// fetchInto copies a held answer of another daemon into a buffer here.
-func (e *Entry) fetchInto(ctx context.Context, member, key string, held *answer.Held) error {
+// fetchAnswer copies an answer that another daemon stores into a local buffer. A
+// broken connection is replaced up to maxFetchRetries times.
+func (e *Entry) fetchAnswer(ctx context.Context, member, key string, held *answer.Held) error {
 	m, err := e.members.Get(member)
 	if err != nil {
 		return err
@@ -162,27 +167,30 @@
 		} else {
 			err = peer.Unwrap(err)
 		}
-		if !errors.Is(err, core.ErrUnavailable) || try == fetchTries {
+		if !errors.Is(err, core.ErrUnavailable) || try == maxFetchRetries {
 			return err
 		}
 	}
 }
 
-const fetchTries = 2
+const maxFetchRetries = 2
 
-// Held returns the answer of a request that this daemon took.
+// Held returns the answer of a request that this daemon accepted or received by
+// handover.
 func (e *Entry) Held(key string) (*answer.Buffer, error) {
-	h, err := e.keep.Get(key)
+	h, err := e.answers.Get(key)
 	if err != nil {
 		return nil, err
 	}
 	return h.Buffer, nil
 }
 
-// Return finds the answer of a request for a caller that comes back.
+// Return returns the answer of an earlier request to a caller that reconnects. It
+// fetches the answer from another daemon if that one stores it. The error is
+// ErrGone if the answer is no longer stored.
 func (e *Entry) Return(ctx context.Context, scope, id string) (*answer.Buffer, error) {
-	key := HoldKey(scope, id)
-	h, err := e.keep.Get(key)
+	key := AnswerKey(scope, id)
+	h, err := e.answers.Get(key)
 	if err == nil {
 		return h.Buffer, nil
 	}
@@ -198,16 +206,16 @@
 	}
 	held := &answer.Held{Key: key, Buffer: answer.NewBuffer()}
 	e.wg.Add(1)
-	go e.runReturn(ctx, member, held)
+	go e.fetchInBackground(ctx, member, held)
 	if _, err := held.Buffer.Head(ctx); err != nil {
 		return nil, err
 	}
 	return held.Buffer, nil
 }
 
-func (e *Entry) runReturn(ctx context.Context, member string, held *answer.Held) {
+func (e *Entry) fetchInBackground(ctx context.Context, member string, held *answer.Held) {
 	defer e.wg.Done()
-	err := e.fetchInto(ctx, member, held.Key, held)
+	err := e.fetchAnswer(ctx, member, held.Key, held)
 	switch {
 	case err == nil:
 		held.Buffer.Finish()
@@ -218,25 +226,28 @@
 	}
 }
 
-// HandOver gives the finished answers held here to daemons that stay, before
-// this one ends, and tells the others that an id hashes to.
+// HandOver sends the finished answers stored here to daemons that keep running,
+// before this daemon stops. The other daemons that an answer's key hashes to
+// receive a pointer.
 func (e *Entry) HandOver(ctx context.Context) {
-	for _, h := range e.keep.All() {
+	for _, h := range e.answers.All() {
 		msg := holdMessage(ctx, h)
-		to := e.members.Rank("req/"+h.Key, "", pointers)
-		if msg == nil || len(to) == 0 {
+		targets := e.members.Rank("req/"+h.Key, "", pointerDaemons)
+		if msg == nil || len(targets) == 0 {
 			continue
 		}
-		if _, err := e.dial(to[0].Peer).Hold(ctx, connect.NewRequest(msg)); err != nil {
-			e.log.Info("a held answer is lost with this daemon", zap.Error(err))
+		if _, err := e.dial(targets[0].Peer).Hold(ctx, connect.NewRequest(msg)); err != nil {
+			e.log.Info("cannot hand over a stored answer; it is lost with this daemon", zap.Error(err))
 			continue
 		}
-		for _, m := range to[1:] {
-			_, _ = e.dial(m.Peer).Point(ctx, connect.NewRequest(&peerv1.Pointer{Request: h.Key, Member: to[0].Name}))
+		for _, m := range targets[1:] {
+			_, _ = e.dial(m.Peer).Point(ctx, connect.NewRequest(&peerv1.Pointer{Request: h.Key, Member: targets[0].Name}))
 		}
 	}
 }
 
+// holdMessage encodes a finished answer. It returns nil if the start of the
+// answer's data has been dropped.
 func holdMessage(ctx context.Context, h *answer.Held) *peerv1.HoldRequest {
 	msg := &peerv1.HoldRequest{Request: h.Key, Print: h.Print}
 	if head, err := h.Buffer.Head(ctx); err == nil {
@@ -253,10 +264,10 @@
 	return msg
 }
 
-// Take keeps a finished answer that a leaving daemon hands over.
+// Take stores a finished answer that a leaving daemon hands over.
 func (e *Entry) Take(msg *peerv1.HoldRequest) {
-	held, fresh := e.keep.Begin(msg.Request, msg.Print)
-	if !fresh {
+	held, created := e.answers.Begin(msg.Request, msg.Print)
+	if !created {
 		return
 	}
 	if msg.Head != nil {
@@ -270,5 +281,5 @@
 	} else {
 		held.Buffer.Finish()
 	}
-	e.keep.Finished(held)
+	e.answers.Finished(held)
 }
--- a/coordination/entry/locator.go
+++ b/coordination/entry/locator.go
@@ -14,96 +14,101 @@
 )
 
 const (
-	// cacheFresh is the age up to which a looked-up entry is used as it is;
-	// cacheStale the age up to which it is used when no keeper answers.
-	cacheFresh = 300 * time.Millisecond
-	cacheStale = 10 * time.Second
-	lookupTime = 500 * time.Millisecond
+	// cacheTTL is the age up to which cached reports are used without a lookup.
+	// staleCacheTTL is the age up to which they are used when a lookup fails or
+	// finds nothing.
+	cacheTTL      = 300 * time.Millisecond
+	staleCacheTTL = 10 * time.Second
+	lookupTimeout = 500 * time.Millisecond
 )
 
-// locator finds the runners that serve a model or service, and remembers for
-// a moment what it found.
+// locator looks up the runners that serve a model or service in the directory and
+// caches the result for a short time.
 type locator struct {
 	e     *Entry
 	mu    sync.Mutex
-	known map[string]*located
+	cache map[string]*cachedReports
 }
 
-type located struct {
-	mu      sync.Mutex // one lookup at a time
-	reports []directory.Report
-	at      time.Time
-	sent    map[string]int // by runner, since at
+type cachedReports struct {
+	mu        sync.Mutex // held during a lookup, so that there is one at a time
+	reports   []directory.Report
+	fetchedAt time.Time
+	sent      map[string]int // requests sent to each runner since fetchedAt
 }
 
 func newLocator(e *Entry) *locator {
-	return &locator{e: e, known: map[string]*located{}}
+	return &locator{e: e, cache: map[string]*cachedReports{}}
 }
 
-func (l *locator) entry(key string) *located {
+// cached returns the cache entry of a key and creates it if needed.
+func (l *locator) cached(key string) *cachedReports {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	one := l.known[key]
-	if one == nil {
-		one = &located{sent: map[string]int{}}
-		l.known[key] = one
+	c := l.cache[key]
+	if c == nil {
+		c = &cachedReports{sent: map[string]int{}}
+		l.cache[key] = c
 	}
-	return one
+	return c
 }
 
+// sweep removes the cache entries that are too old to be used.
 func (l *locator) sweep() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	for key, one := range l.known {
-		if one.mu.TryLock() {
-			if l.e.clock.Since(one.at) > cacheStale {
-				delete(l.known, key)
+	for key, c := range l.cache {
+		if c.mu.TryLock() {
+			if l.e.clock.Since(c.fetchedAt) > staleCacheTTL {
+				delete(l.cache, key)
 			}
-			one.mu.Unlock()
+			c.mu.Unlock()
 		}
 	}
 }
 
-// find returns the reports under a key and how many requests were sent to
-// each runner since they were made.
+// find returns the reports of a key and the number of requests that this daemon
+// has sent to each runner since the reports were fetched.
 func (l *locator) find(ctx context.Context, key string) ([]directory.Report, map[string]int) {
-	one := l.entry(key)
-	one.mu.Lock()
-	defer one.mu.Unlock()
+	c := l.cached(key)
+	c.mu.Lock()
+	defer c.mu.Unlock()
 	now := l.e.clock.Now()
-	if len(one.reports) == 0 || now.Sub(one.at) > cacheFresh {
-		if reports, ok := l.lookup(ctx, key); ok && (len(reports) > 0 || now.Sub(one.at) > cacheStale) {
-			one.reports, one.at = reports, now
-			clear(one.sent)
+	if len(c.reports) == 0 || now.Sub(c.fetchedAt) > cacheTTL {
+		if reports, ok := l.lookup(ctx, key); ok && (len(reports) > 0 || now.Sub(c.fetchedAt) > staleCacheTTL) {
+			c.reports, c.fetchedAt = reports, now
+			clear(c.sent)
 		}
 	}
-	sent := make(map[string]int, len(one.sent))
-	for runner, n := range one.sent {
+	sent := make(map[string]int, len(c.sent))
+	for runner, n := range c.sent {
 		sent[runner] = n
 	}
-	return one.reports, sent
+	return c.reports, sent
 }
 
-func (l *locator) dispatched(key, runner string) {
-	one := l.entry(key)
-	one.mu.Lock()
-	defer one.mu.Unlock()
-	one.sent[runner]++
+// countSent counts a request that is sent to a runner.
+func (l *locator) countSent(key, runner string) {
+	c := l.cached(key)
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.sent[runner]++
 }
 
-// lookup asks the keepers in turn and joins what they say: a keeper that is
-// new may know only a part yet.
+// lookup queries the keepers of a key in order until one returns reports, and
+// merges the results by the newest report of each runner. A new keeper may not have
+// received all reports yet. The result is false if no keeper answered.
 func (l *locator) lookup(ctx context.Context, key string) ([]directory.Report, bool) {
 	newest := map[string]directory.Report{}
 	answered := false
 	for _, m := range owner.KeepersOf(l.e.members, key) {
-		reports, err := l.ask(ctx, m, key)
+		reports, err := l.lookupAt(ctx, m, key)
 		if err != nil {
 			continue
 		}
 		answered = true
 		for _, r := range reports {
-			if have, ok := newest[r.Runner]; !ok || r.At.After(have.At) {
+			if previous, ok := newest[r.Runner]; !ok || r.At.After(previous.At) {
 				newest[r.Runner] = r
 			}
 		}
@@ -118,11 +123,12 @@
 	return out, answered
 }
 
-func (l *locator) ask(ctx context.Context, m core.Member, key string) ([]directory.Report, error) {
+// lookupAt queries one keeper of a key.
+func (l *locator) lookupAt(ctx context.Context, m core.Member, key string) ([]directory.Report, error) {
 	if m.Name == l.e.members.Self().Name {
 		return l.e.dir.Find(key), nil
 	}
-	ctx, cancel := context.WithTimeout(ctx, lookupTime)
+	ctx, cancel := context.WithTimeout(ctx, lookupTimeout)
 	defer cancel()
 	resp, err := l.e.dial(m.Peer).Lookup(ctx, connect.NewRequest(&peerv1.LookupRequest{Key: key}))
 	if err != nil {
@@ -131,25 +137,26 @@
 	return ReportsFromWire(resp.Msg, l.e.clock.Now()), nil
 }
 
-// Directory returns the runners that serve a key, as the directory knows them.
+// Directory returns the reports of the runners that serve a key, by a lookup that
+// bypasses the cache.
 func (e *Entry) Directory(ctx context.Context, key string) []directory.Report {
 	reports, _ := e.locator.lookup(ctx, key)
 	return reports
 }
 
-// SendReports gives reports to a keeper of the directory.
+// SendReports sends reports to a keeper of the directory.
 func (e *Entry) SendReports(ctx context.Context, to core.Member, reports []directory.Report) error {
 	if to.Name == e.members.Self().Name {
 		e.dir.Put(reports)
 		return nil
 	}
-	ctx, cancel := context.WithTimeout(ctx, lookupTime)
+	ctx, cancel := context.WithTimeout(ctx, lookupTimeout)
 	defer cancel()
 	_, err := e.dial(to.Peer).Report(ctx, connect.NewRequest(ReportsToWire(reports, e.clock.Now())))
 	return err
 }
 
-// ReportsToWire makes the message of reports; times travel as ages, since
+// ReportsToWire encodes reports as a message. Times are sent as ages, since the
 // daemons' clocks differ.
 func ReportsToWire(reports []directory.Report, now time.Time) *peerv1.Reports {
 	msg := &peerv1.Reports{}
@@ -171,7 +178,7 @@
 	return msg
 }
 
-// ReportsFromWire reads the message of reports.
+// ReportsFromWire decodes a message of reports.
 func ReportsFromWire(msg *peerv1.Reports, now time.Time) []directory.Report {
 	out := make([]directory.Report, 0, len(msg.Reports))
 	for _, r := range msg.Reports {
--- a/coordination/entry/relay.go
+++ b/coordination/entry/relay.go
@@ -12,43 +12,46 @@
 	"primroseward/state/directory"
 )
 
-// holdBack is how much of an answer that is not a stream of events is kept
-// back until it is whole, so that a broken attempt can be replaced unseen.
-const holdBack = 1 << 20
-
-// relay passes attempts' answers on to the caller's buffer in such portions
-// that a following attempt can take over: whole events of a stream, or
-// the whole answer if it is short.
+// maxWithheld is how many bytes of an answer that is not an event stream are
+// withheld until it is complete. Until then a failed attempt can be replaced
+// without the caller noticing.
+const maxWithheld = 1 << 20
+
+// relay forwards the answers of attempts to the caller's buffer. It forwards
+// complete events of a stream, or the complete answer if it is short, so that
+// another attempt can continue after a failure.
 type relay struct {
-	ask    *Ask
-	out    *answer.Buffer
-	runner directory.Report
-	got    int64 // bytes received from all attempts
-	events bool
-	head   *answer.Head // kept back with pending
-	part   []byte       // kept back
-	passed bool         // something has been passed on
-	again  bool         // this attempt continues another's stream
+	request       *Ask
+	out           *answer.Buffer
+	runner        directory.Report
+	receivedBytes int64 // body bytes received, over all attempts
+	eventStream   bool
+	head          *answer.Head // withheld together with pending
+	pending       []byte       // body bytes withheld
+	forwarded     bool         // whether anything was forwarded to the caller
+	continuing    bool         // whether this attempt continues an earlier attempt's stream
 }
 
 func newRelay(a *Ask, out *answer.Buffer) *relay {
-	return &relay{ask: a, out: out}
+	return &relay{request: a, out: out}
 }
 
-// begin drops what an earlier attempt left incomplete.
-func (r *relay) begin(runner directory.Report) {
+// beginAttempt discards the withheld data of an earlier attempt.
+func (r *relay) beginAttempt(runner directory.Report) {
 	r.runner = runner
 	r.head = nil
-	r.part = nil
-	r.again = r.passed
+	r.pending = nil
+	r.continuing = r.forwarded
 }
 
-func (r *relay) received() int64 { return r.got }
+// received returns the number of body bytes received, over all attempts.
+func (r *relay) received() int64 { return r.receivedBytes }
 
-// hopHeaders belong to one connection and are not passed on.
+// hopHeaders are the headers that apply to one connection and are not forwarded.
 var hopHeaders = []string{"Connection", "Keep-Alive", "Transfer-Encoding", "Te", "Trailer", "Upgrade", "Proxy-Connection", core.HeaderRequestID}
 
-// SetHead takes an attempt's head. That of a stream goes on at once.
+// SetHead receives the head of an attempt's answer. The head of an event stream is
+// forwarded at once.
 func (r *relay) SetHead(h answer.Head) {
 	h.Header = h.Header.Clone()
 	if h.Header == nil {
@@ -60,70 +63,71 @@
 	h.Header.Set(core.HeaderRunner, r.runner.Runner)
 	h.Header.Set(core.HeaderPlace, r.runner.Place)
 	r.head = &h
-	r.events = h.Status == http.StatusOK && strings.HasPrefix(h.Header.Get("Content-Type"), "text/event-stream")
-	if r.events {
+	r.eventStream = h.Status == http.StatusOK && strings.HasPrefix(h.Header.Get("Content-Type"), "text/event-stream")
+	if r.eventStream {
 		h.Header.Del("Content-Length")
 		r.out.SetHead(h)
 	}
 }
 
-// Append takes an attempt's data.
+// Append receives body data of an attempt's answer.
 func (r *relay) Append(ctx context.Context, data []byte) error {
-	r.got += int64(len(data))
-	r.part = append(r.part, data...)
-	if r.events {
-		return r.passEvents(ctx)
+	r.receivedBytes += int64(len(data))
+	r.pending = append(r.pending, data...)
+	if r.eventStream {
+		return r.forwardEvents(ctx)
 	}
-	if len(r.part) > holdBack {
+	if len(r.pending) > maxWithheld {
 		return r.flush(ctx)
 	}
 	return nil
 }
 
-var eventEnd = []byte("\n\n")
+var eventSeparator = []byte("\n\n")
 
-func (r *relay) passEvents(ctx context.Context) error {
-	i := bytes.LastIndex(r.part, eventEnd)
+// forwardEvents forwards the complete events received so far.
+func (r *relay) forwardEvents(ctx context.Context) error {
+	i := bytes.LastIndex(r.pending, eventSeparator)
 	if i < 0 {
 		return nil
 	}
-	whole := r.part[:i+len(eventEnd)]
-	r.part = append([]byte(nil), r.part[len(whole):]...)
-	if r.again {
-		whole = dropEmpty(whole)
+	whole := r.pending[:i+len(eventSeparator)]
+	r.pending = append([]byte(nil), r.pending[len(whole):]...)
+	if r.continuing {
+		whole = dropEmptyEvents(whole)
 	}
-	r.passed = true
+	r.forwarded = true
 	return r.out.Append(ctx, whole)
 }
 
-// flush passes on the head and what was kept back.
+// flush forwards the withheld head and data.
 func (r *relay) flush(ctx context.Context) error {
-	r.passed = true
+	r.forwarded = true
 	if r.head != nil {
 		r.out.SetHead(*r.head)
 	}
-	part := r.part
-	r.part = nil
-	return r.out.Append(ctx, part)
+	pending := r.pending
+	r.pending = nil
+	return r.out.Append(ctx, pending)
 }
 
-// end passes on the rest of a whole answer, or says why it is none. An engine
-// that turns a request down is an attempt that failed, so that another runner
-// is asked.
-func (r *relay) end(ctx context.Context) error {
-	if r.events {
-		if len(bytes.TrimSpace(r.part)) > 0 {
+// finish forwards the rest of a complete answer, or returns an error if the answer
+// is incomplete. A rejection by the engine counts as a failed attempt, so that
+// another runner is tried.
+func (r *relay) finish(ctx context.Context) error {
+	if r.eventStream {
+		if len(bytes.TrimSpace(r.pending)) > 0 {
 			return core.MayHaveRun("broken_event", "the stream ended inside an event")
 		}
 		return nil
 	}
-	if r.head != nil && !r.passed && r.ask.Model != "" && r.ask.Repeat && refusal(r.head.Status) {
+	if r.head != nil && !r.forwarded && r.request.Model != "" && r.request.Repeat && isRejection(r.head.Status) {
 		return core.MayHaveRun("engine_refused", http.StatusText(r.head.Status))
 	}
-	// An engine that ends its HTTP message in the middle of the answer marks an
-	// end that is none; only the answer's own form shows it.
-	if r.head != nil && !r.passed && r.ask.Model != "" && isJSON(r.head.Header) && !json.Valid(r.part) {
-		return core.MayHaveRun("broken_answer", "the answer is not whole JSON")
+	// An engine can end its HTTP message properly in the middle of the answer.
+	// Only the JSON syntax then shows that the answer is incomplete.
+	if r.head != nil && !r.forwarded && r.request.Model != "" && isJSON(r.head.Header) && !json.Valid(r.pending) {
+		return core.MayHaveRun("broken_answer", "the answer is not complete JSON")
 	}
 	return r.flush(ctx)
 }
@@ -132,7 +136,9 @@
 	return strings.HasPrefix(h.Get("Content-Type"), "application/json")
 }
 
-func refusal(status int) bool {
+// isRejection reports whether a status is a rejection that another runner may not
+// give. Other client errors are the fault of the caller's request.
+func isRejection(status int) bool {
 	switch status {
 	case http.StatusNotFound, http.StatusTooManyRequests, http.StatusServiceUnavailable, http.StatusInternalServerError:
 		return true
@@ -140,27 +146,28 @@
 	return false
 }
 
-// canContinue says whether another attempt can go on where the last stopped.
+// canContinue reports whether another attempt can continue the answer where the
+// last attempt failed.
 func (r *relay) canContinue() bool {
-	if !r.passed {
+	if !r.forwarded {
 		return true
 	}
-	if !r.events || !strings.HasPrefix(r.ask.Path, pathChat) {
+	if !r.eventStream || !strings.HasPrefix(r.request.Path, pathChat) {
 		return false
 	}
 	d := r.delivered()
-	return d.plain
+	return d.continuable
 }
 
-// body is the request of the next attempt: the caller's own, or one that
+// nextBody returns the request body of the next attempt: the caller's, or one that
 // continues the text delivered so far.
-func (r *relay) body() []byte {
-	if !r.passed {
-		return r.ask.Body
+func (r *relay) nextBody() []byte {
+	if !r.forwarded {
+		return r.request.Body
 	}
 	d := r.delivered()
 	if d.tokens == 0 {
-		return r.ask.Body
+		return r.request.Body
 	}
-	return d.continued(r.ask.Body)
+	return d.continuation(r.request.Body)
 }
--- a/coordination/entry/relay_test.go
+++ b/coordination/entry/relay_test.go
@@ -27,15 +27,15 @@
 	return answer.Head{Status: http.StatusOK, Header: http.Header{"Content-Type": {"text/event-stream"}}}
 }
 
-// A caller sees half an event and then the same words again: an attempt breaks
-// inside an event and another runner goes on. Whatever the portions in which
-// the first attempt's bytes came, and wherever they end, the caller must have
-// whole events only, and the next request must continue exactly their text.
+// Guards against partial or duplicate text in a continued stream, when an attempt
+// fails inside an event and another runner continues. For any chunk size and any
+// end of the first attempt, the caller must receive complete events only, and the
+// next request must continue exactly their text.
 func FuzzContinue(f *testing.F) {
 	f.Add(uint16(10), uint8(3))
 	f.Add(uint16(200), uint8(1))
 	f.Add(uint16(999), uint8(50))
-	f.Fuzz(func(t *testing.T, cut uint16, portion uint8) {
+	f.Fuzz(func(t *testing.T, cut uint16, chunkSize uint8) {
 		var stream string
 		for i := range 8 {
 			stream += sse(fmt.Sprintf("w%d ", i), "")
@@ -45,13 +45,13 @@
 		out := answer.NewBuffer()
 		body := `{"model":"m","max_tokens":8,"messages":[{"role":"user","content":"x"}]}`
 		r := newRelay(&Ask{Model: "m", Path: pathChat, Body: []byte(body), Repeat: true}, out)
-		r.begin(directory.Report{Runner: "r1"})
+		r.beginAttempt(directory.Report{Runner: "r1"})
 		r.SetHead(eventHead())
-		step := int(portion)%97 + 1
+		step := int(chunkSize)%97 + 1
 		for i := 0; i < len(first); i += step {
 			assert.NilError(t, r.Append(ctx, []byte(first[i:min(len(first), i+step)])))
 		}
-		whole := strings.Count(first, "\n\n")
+		complete := strings.Count(first, "\n\n")
 		assert.Assert(t, r.canContinue())
 		var req struct {
 			Max      int `json:"max_tokens"`
@@ -59,27 +59,27 @@
 				Content string `json:"content"`
 			} `json:"messages"`
 		}
-		assert.NilError(t, json.Unmarshal(r.body(), &req))
+		assert.NilError(t, json.Unmarshal(r.nextBody(), &req))
 		var text string
 		if len(req.Messages) == 2 {
 			text = req.Messages[1].Content
 		}
-		assert.Equal(t, strings.Count(text, " "), whole)
-		if whole > 0 {
-			assert.Equal(t, req.Max, max(1, 8-whole))
+		assert.Equal(t, strings.Count(text, " "), complete)
+		if complete > 0 {
+			assert.Equal(t, req.Max, max(1, 8-complete))
 		}
-		r.begin(directory.Report{Runner: "r2"})
+		r.beginAttempt(directory.Report{Runner: "r2"})
 		r.SetHead(eventHead())
 		rest := sse("", "")
-		for i := whole; i < 8; i++ {
+		for i := complete; i < 8; i++ {
 			rest += sse(fmt.Sprintf("w%d ", i), "")
 		}
 		assert.NilError(t, r.Append(ctx, []byte(rest)))
-		assert.NilError(t, r.end(ctx))
+		assert.NilError(t, r.finish(ctx))
 		out.Finish()
 		got, _, err := out.Next(ctx, 0)
 		assert.NilError(t, err)
-		if whole > 0 {
+		if complete > 0 {
 			assert.Equal(t, string(got), stream)
 		} else {
 			assert.Assert(t, strings.HasSuffix(string(got), stream))
@@ -87,58 +87,60 @@
 	})
 }
 
-func TestRelayKeepsBackWhatMayBeReplaced(t *testing.T) {
+// A short answer is withheld until it is complete. An incomplete or rejected one
+// fails the attempt instead of reaching the caller.
+func TestRelayWithholdsReplaceableAnswers(t *testing.T) {
 	cases := []struct {
 		name, kind, body string
 		status           int
-		whole            bool
+		complete         bool
 	}{
-		{"whole JSON", "application/json", `{"a":1}`, 200, true},
-		{"half JSON", "application/json", `{"a":`, 200, false},
-		{"engine turns it down", "application/json", `{}`, 503, false},
-		{"caller's own fault", "application/json", `{}`, 400, true},
-		{"text", "text/plain", "x", 200, true},
+		{"complete JSON", "application/json", `{"a":1}`, 200, true},
+		{"truncated JSON", "application/json", `{"a":`, 200, false},
+		{"rejection by the engine", "application/json", `{}`, 503, false},
+		{"invalid request of the caller", "application/json", `{}`, 400, true},
+		{"plain text", "text/plain", "x", 200, true},
 	}
-	for _, one := range cases {
+	for _, tt := range cases {
 		ctx := context.Background()
 		out := answer.NewBuffer()
 		r := newRelay(&Ask{Model: "m", Path: pathChat, Repeat: true}, out)
-		r.begin(directory.Report{})
-		r.SetHead(answer.Head{Status: one.status, Header: http.Header{"Content-Type": {one.kind}}})
-		assert.NilError(t, r.Append(ctx, []byte(one.body)))
-		assert.Equal(t, out.Len(), int64(0), "kept back")
-		assert.Equal(t, r.end(ctx) == nil, one.whole, one.name)
+		r.beginAttempt(directory.Report{})
+		r.SetHead(answer.Head{Status: tt.status, Header: http.Header{"Content-Type": {tt.kind}}})
+		assert.NilError(t, r.Append(ctx, []byte(tt.body)))
+		assert.Equal(t, out.Len(), int64(0), "withheld")
+		assert.Equal(t, r.finish(ctx) == nil, tt.complete, tt.name)
 	}
 }
 
-// A caller gets a word more than it asked for, or a second end. The attempt
-// breaks after the last token, before or after the finish reason: there is
-// nothing to continue, and the stream is ended here.
-func TestNothingIsContinuedAfterTheLastToken(t *testing.T) {
+// Guards against an extra token or a second finish reason, when an attempt fails
+// after the last token, before or after the finish reason. There is nothing left
+// to continue, so the relay has to end the stream itself.
+func TestRelayEndsStreamAfterLastToken(t *testing.T) {
 	cases := []struct {
-		name   string
-		stream string
-		whole  bool
+		name     string
+		stream   string
+		complete bool
 	}{
-		{"one token is missing", sse("a ", ""), false},
-		{"all tokens, no finish reason", sse("a ", "") + sse("b ", ""), true},
-		{"finish reason, no end marker", sse("a ", "") + sse("b ", "") + sse("", "stop"), true},
+		{"last token missing", sse("a ", ""), false},
+		{"finish reason missing", sse("a ", "") + sse("b ", ""), true},
+		{"end marker missing", sse("a ", "") + sse("b ", "") + sse("", "stop"), true},
 	}
-	for _, one := range cases {
+	for _, tt := range cases {
 		ctx := context.Background()
 		out := answer.NewBuffer()
 		r := newRelay(&Ask{Model: "m", Path: pathChat, Repeat: true, Body: []byte(`{"max_tokens":2,"messages":[]}`)}, out)
-		r.begin(directory.Report{})
+		r.beginAttempt(directory.Report{})
 		r.SetHead(eventHead())
-		assert.NilError(t, r.Append(ctx, []byte(one.stream)))
-		assert.Equal(t, r.complete(ctx), one.whole, one.name)
-		if !one.whole {
+		assert.NilError(t, r.Append(ctx, []byte(tt.stream)))
+		assert.Equal(t, r.completeStream(ctx), tt.complete, tt.name)
+		if !tt.complete {
 			continue
 		}
 		out.Finish()
 		got, _, err := out.Next(ctx, 0)
 		assert.NilError(t, err)
-		assert.Equal(t, strings.Count(string(got), "finish_reason\":\""), 1, one.name)
-		assert.Assert(t, strings.HasSuffix(string(got), doneEvent), one.name)
+		assert.Equal(t, strings.Count(string(got), "finish_reason\":\""), 1, tt.name)
+		assert.Assert(t, strings.HasSuffix(string(got), doneEvent), tt.name)
 	}
 }
--- a/coordination/entry/resume.go
+++ b/coordination/entry/resume.go
@@ -7,12 +7,13 @@
 	"strings"
 )
 
-// pathChat is the only call whose streams are continued on another runner:
-// its messages can carry the text begun.
+// pathChat is the only path whose streams are continued on another runner: its
+// messages can contain the partial text of the answer.
 const pathChat = "/v1/chat/completions"
 
-// event is what continuing needs of a chunk in OpenAI's form.
-type event struct {
+// chunk holds the fields of a chunk in OpenAI's format that are needed to continue
+// a stream.
+type chunk struct {
 	Choices []struct {
 		Index int `json:"index"`
 		Delta struct {
@@ -23,31 +24,31 @@
 	} `json:"choices"`
 }
 
-// delivered is what a caller has of a stream.
+// delivered describes the part of a stream that the caller has received.
 type delivered struct {
-	text     string
-	tokens   int  // events with text; engines send one token in each
-	finished bool // the finish reason has been delivered
-	plain    bool // it is the text of one choice, which can be continued
+	text        string
+	tokens      int  // events with text; engines send one token per event
+	finished    bool // whether the finish reason was delivered
+	continuable bool // whether it is the text of a single choice, without tool calls
 }
 
-// delivered reads back what was passed on. It is only read after a failure,
-// so that a stream costs nothing to watch.
+// delivered parses what was forwarded to the caller. It runs only after a failure,
+// so that streams without failures are not parsed at all.
 func (r *relay) delivered() delivered {
 	data, _, err := r.out.Next(context.Background(), 0)
 	if err != nil {
 		return delivered{}
 	}
-	d := delivered{plain: true}
+	d := delivered{continuable: true}
 	var text strings.Builder
-	for _, raw := range bytes.Split(data, eventEnd) {
-		e, ok := parseEvent(raw)
+	for _, raw := range bytes.Split(data, eventSeparator) {
+		e, ok := parseChunk(raw)
 		if !ok {
 			continue
 		}
 		for _, c := range e.Choices {
 			if c.Index != 0 || len(c.Delta.Tools) > 0 {
-				d.plain = false
+				d.continuable = false
 			}
 			if c.Delta.Content != "" {
 				text.WriteString(c.Delta.Content)
@@ -60,8 +61,8 @@
 	return d
 }
 
-func parseEvent(raw []byte) (event, bool) {
-	var e event
+func parseChunk(raw []byte) (chunk, bool) {
+	var e chunk
 	data, ok := bytes.CutPrefix(bytes.TrimSpace(raw), []byte("data: "))
 	if !ok || json.Unmarshal(data, &e) != nil {
 		return e, false
@@ -69,23 +70,24 @@
 	return e, true
 }
 
-// continued makes a request that goes on after the delivered text, as engines
-// with continue_final_message understand it.
-func (d delivered) continued(body []byte) []byte {
+// continuation returns the body of a request that continues after the delivered
+// text, for engines that support continue_final_message. The token limits are
+// reduced by the tokens delivered.
+func (d delivered) continuation(body []byte) []byte {
 	var req map[string]json.RawMessage
 	var messages []json.RawMessage
 	if json.Unmarshal(body, &req) != nil || json.Unmarshal(req["messages"], &messages) != nil {
 		return body
 	}
-	begun, err := json.Marshal(map[string]string{"role": "assistant", "content": d.text})
+	partial, err := json.Marshal(map[string]string{"role": "assistant", "content": d.text})
 	if err != nil {
 		return body
 	}
-	req["messages"], _ = json.Marshal(append(messages, begun))
+	req["messages"], _ = json.Marshal(append(messages, partial))
 	req["continue_final_message"] = json.RawMessage("true")
 	req["add_generation_prompt"] = json.RawMessage("false")
-	for _, field := range limitFields {
-		if limit := limitOf(req, field); limit > 0 {
+	for _, field := range tokenLimitFields {
+		if limit := tokenLimit(req, field); limit > 0 {
 			req[field], _ = json.Marshal(max(1, limit-d.tokens))
 		}
 	}
@@ -96,10 +98,10 @@
 	return out
 }
 
-// limitFields name the most tokens that a caller wants.
-var limitFields = []string{"max_tokens", "max_completion_tokens"}
+// tokenLimitFields are the fields that limit the number of tokens of an answer.
+var tokenLimitFields = []string{"max_tokens", "max_completion_tokens"}
 
-func limitOf(req map[string]json.RawMessage, field string) int {
+func tokenLimit(req map[string]json.RawMessage, field string) int {
 	var limit int
 	if json.Unmarshal(req[field], &limit) != nil {
 		return 0
@@ -107,28 +109,30 @@
 	return limit
 }
 
-// usedUp says whether the caller has all the tokens that it asked for. An
-// engine sends one token an event; one that joins several is seen to have sent
-// fewer, and a continued answer may then be longer by those.
-func (d delivered) usedUp(body []byte) bool {
+// limitReached reports whether the caller has received as many tokens as the
+// request allows. It assumes one token per event. For an engine that puts several
+// tokens into one event the count is too low, and a continued answer may exceed
+// the limit by the tokens not counted.
+func (d delivered) limitReached(body []byte) bool {
 	var req map[string]json.RawMessage
 	if json.Unmarshal(body, &req) != nil {
 		return false
 	}
-	for _, field := range limitFields {
-		if limit := limitOf(req, field); limit > 0 && d.tokens >= limit {
+	for _, field := range tokenLimitFields {
+		if limit := tokenLimit(req, field); limit > 0 && d.tokens >= limit {
 			return true
 		}
 	}
 	return false
 }
 
-// dropEmpty removes events that carry neither text nor an end. A continued
-// stream begins with such an event, which the caller has had already.
-func dropEmpty(events []byte) []byte {
+// dropEmptyEvents removes events with neither text nor a finish reason nor tool
+// calls. A continued stream begins with such an event, which the caller has
+// received from the first attempt.
+func dropEmptyEvents(events []byte) []byte {
 	var out []byte
-	for _, raw := range bytes.SplitAfter(events, eventEnd) {
-		e, ok := parseEvent(raw)
+	for _, raw := range bytes.SplitAfter(events, eventSeparator) {
+		e, ok := parseChunk(raw)
 		empty := ok && len(e.Choices) > 0
 		for _, c := range e.Choices {
 			if c.Delta.Content != "" || c.Finish != nil || len(c.Delta.Tools) > 0 {
@@ -142,27 +146,27 @@
 	return out
 }
 
-// complete ends a stream whose text was delivered whole and whose end was lost:
-// the finish reason came, or all tokens that the caller wants. Another attempt
-// would add a token too many. It says whether the stream is whole now.
-func (r *relay) complete(ctx context.Context) bool {
-	if !r.passed || !r.events {
+// completeStream ends a stream whose text is complete but whose end was lost: the
+// finish reason was delivered, or as many tokens as the request allows. A further
+// attempt would add a token too many. It reports whether the stream is complete.
+func (r *relay) completeStream(ctx context.Context) bool {
+	if !r.forwarded || !r.eventStream {
 		return false
 	}
 	d := r.delivered()
-	end := doneEvent
+	ending := doneEvent
 	if !d.finished {
-		if !d.plain || !d.usedUp(r.ask.Body) {
+		if !d.continuable || !d.limitReached(r.request.Body) {
 			return false
 		}
-		end = finishEvent(r.ask.Model) + doneEvent
+		ending = finishEvent(r.request.Model) + doneEvent
 	}
-	return r.out.Append(ctx, []byte(end)) == nil
+	return r.out.Append(ctx, []byte(ending)) == nil
 }
 
 const doneEvent = "data: [DONE]\n\n"
 
-// finishEvent is the chunk that ends an answer for its length.
+// finishEvent returns the event that ends an answer at its token limit.
 func finishEvent(model string) string {
 	data, _ := json.Marshal(map[string]any{
 		"object":  "chat.completion.chunk",
