--- a/coordination/member/table.go
+++ b/coordination/member/table.go
@@ -1,6 +1,7 @@
-// Package member keeps the list of daemons: each probes a constant number of
-// others a second, suspicion is refuted by a higher incarnation (as in SWIM),
-// and changes ride on the probes.
+// Package member maintains the list of daemons by gossip. Each daemon probes a
+// constant number of members per second. A suspected member refutes the suspicion
+// with a higher incarnation number, as in SWIM. Updates of the list are piggybacked
+// on the probes.
 package member
 
 import (
@@ -16,35 +17,35 @@
 	"primroseward/core"
 )
 
-// keepDead is how long a dead member is remembered, so that old news of it
-// cannot bring it back.
-const keepDead = 10 * time.Minute
+// deadRetention is how long the entry of a dead member is kept. Until then an
+// outdated update cannot add the member again.
+const deadRetention = 10 * time.Minute
 
-// entry is a member with what the table needs to know of it.
+// entry is a member with the bookkeeping of the table.
 type entry struct {
 	core.Member
-	since time.Time // of its state
-	sends int       // how often the news may still ride along
+	stateSince time.Time // when the member entered its state
+	sendsLeft  int       // how many more packets the update is added to
 }
 
-// Table is the member list of one daemon, without input or output. It
-// implements core.Members.
+// Table is the member list of one daemon. It performs no I/O. It implements
+// core.Members.
 type Table struct {
 	clock core.Clock
 
-	mu      sync.RWMutex
-	self    core.Member
-	entries map[string]*entry
-	ranked  map[rankKey][]core.Member // cache of Rank
-	live    map[string][]candidate    // by place; nil after a change
+	mu         sync.RWMutex
+	self       core.Member
+	entries    map[string]*entry
+	ranked     map[rankKey][]core.Member // cached results of Rank
+	candidates map[string][]candidate    // by data centre; nil after a change
 
 	generation uint64
 }
 
-// NewTable returns a table that holds only self.
+// NewTable returns a table that contains only self.
 func NewTable(clock core.Clock, self core.Member) *Table {
 	t := &Table{clock: clock, self: self, entries: map[string]*entry{}, ranked: map[rankKey][]core.Member{}}
-	t.entries[self.Name] = &entry{Member: self, since: clock.Now(), sends: 8}
+	t.entries[self.Name] = &entry{Member: self, stateSince: clock.Now(), sendsLeft: 8}
 	return t
 }
 
@@ -55,7 +56,7 @@
 	return t.self
 }
 
-// SetState announces a change of the daemon's own state.
+// SetState changes the daemon's own state, which is sent to the members.
 func (t *Table) SetState(s core.MemberState) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -64,9 +65,10 @@
 	t.put(t.self)
 }
 
-// Merge takes in news of a member and says whether it was new. Of two reports
-// the higher incarnation holds, then the higher state. News that would put
-// down the daemon itself is answered by a higher incarnation.
+// Merge applies an update about a member and reports whether it changed the table.
+// Of two updates the one with the higher incarnation number wins, then the one with
+// the higher state. An update with a newer state of this daemon itself is refuted
+// with a higher incarnation number.
 func (t *Table) Merge(m core.Member) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -76,24 +78,27 @@
 	if m.Name == t.self.Name {
 		return t.refute(m)
 	}
-	have, known := t.entries[m.Name]
-	if !known && m.State == core.MemberDead {
+	current, exists := t.entries[m.Name]
+	if !exists && m.State == core.MemberDead {
 		return false
 	}
-	if known && !newer(m, have.Member) {
+	if exists && !newer(m, current.Member) {
 		return false
 	}
 	t.put(m)
 	return true
 }
 
-func newer(m, have core.Member) bool {
-	if m.Incarnation != have.Incarnation {
-		return m.Incarnation > have.Incarnation
+// newer reports whether an update takes precedence over the entry in the table.
+func newer(m, current core.Member) bool {
+	if m.Incarnation != current.Incarnation {
+		return m.Incarnation > current.Incarnation
 	}
-	return m.State > have.State
+	return m.State > current.State
 }
 
+// refute answers an update about this daemon itself that takes precedence over its
+// own state.
 func (t *Table) refute(m core.Member) bool {
 	if !newer(m, t.self) {
 		return false
@@ -103,19 +108,21 @@
 	return true
 }
 
+// put stores a changed entry, marks it for sending and invalidates the caches.
 func (t *Table) put(m core.Member) {
-	t.entries[m.Name] = &entry{Member: m, since: t.clock.Now(), sends: t.fanout()}
+	t.entries[m.Name] = &entry{Member: m, stateSince: t.clock.Now(), sendsLeft: t.maxSends()}
 	clear(t.ranked)
-	t.live = nil
+	t.candidates = nil
 	t.generation++
 }
 
-// fanout is how often a change rides along before it counts as spread.
-func (t *Table) fanout() int {
+// maxSends returns the number of packets that an update is added to before it is
+// considered to have reached all members.
+func (t *Table) maxSends() int {
 	return 4 * int(math.Ceil(math.Log2(float64(len(t.entries)+2))))
 }
 
-// Suspect marks a member that answers no probe.
+// Suspect marks a member that answered no probe as suspected.
 func (t *Table) Suspect(name string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -128,22 +135,22 @@
 	t.put(m)
 }
 
-// Expire turns members suspect for longer than after into dead ones, and
-// forgets the long dead. It returns the newly dead.
+// Expire declares members dead that have been suspected for at least after, and
+// returns them. It removes entries that have been dead for deadRetention.
 func (t *Table) Expire(after time.Duration) []core.Member {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	var dead []core.Member
 	now := t.clock.Now()
 	for name, e := range t.entries {
-		age := now.Sub(e.since)
+		age := now.Sub(e.stateSince)
 		switch {
 		case e.State == core.MemberSuspect && age >= after:
 			m := e.Member
 			m.State = core.MemberDead
 			t.put(m)
 			dead = append(dead, m)
-		case e.State == core.MemberDead && age >= keepDead:
+		case e.State == core.MemberDead && age >= deadRetention:
 			delete(t.entries, name)
 			t.generation++
 		}
@@ -151,20 +158,20 @@
 	return dead
 }
 
-// News returns up to n changes that should ride along, the least spread first.
-func (t *Table) News(n int) []core.Member {
+// Updates returns up to n updates to add to a packet, those with the most sends left first.
+func (t *Table) Updates(n int) []core.Member {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	var fresh []*entry
+	var pending []*entry
 	for _, e := range t.entries {
-		if e.sends > 0 {
-			fresh = append(fresh, e)
+		if e.sendsLeft > 0 {
+			pending = append(pending, e)
 		}
 	}
-	slices.SortFunc(fresh, func(a, b *entry) int { return b.sends - a.sends })
+	slices.SortFunc(pending, func(a, b *entry) int { return b.sendsLeft - a.sendsLeft })
 	var out []core.Member
-	for _, e := range fresh[:min(n, len(fresh))] {
-		e.sends--
+	for _, e := range pending[:min(n, len(pending))] {
+		e.sendsLeft--
 		out = append(out, e.Member)
 	}
 	return out
@@ -177,13 +184,14 @@
 	return t.list(func(e *entry) bool { return e.State != core.MemberDead })
 }
 
-// Whole returns all entries, the dead ones too.
+// Whole returns all entries, including dead members.
 func (t *Table) Whole() []core.Member {
 	t.mu.RLock()
 	defer t.mu.RUnlock()
 	return t.list(func(*entry) bool { return true })
 }
 
+// list returns the members whose entries match keep, sorted by name.
 func (t *Table) list(keep func(*entry) bool) []core.Member {
 	out := make([]core.Member, 0, len(t.entries))
 	for _, e := range t.entries {
@@ -195,7 +203,7 @@
 	return out
 }
 
-// Get returns a member by name.
+// Get returns a member that is not dead by name.
 func (t *Table) Get(name string) (core.Member, error) {
 	t.mu.RLock()
 	defer t.mu.RUnlock()
@@ -206,8 +214,8 @@
 	return e.Member, nil
 }
 
-// Peek returns a member's entry, the dead ones too.
-func (t *Table) Peek(name string) (core.Member, bool) {
+// GetWithDead returns a member by name, even if it is dead.
+func (t *Table) GetWithDead(name string) (core.Member, bool) {
 	t.mu.RLock()
 	defer t.mu.RUnlock()
 	e := t.entries[name]
@@ -217,7 +225,8 @@
 	return e.Member, true
 }
 
-// RandomDead returns a dead member, to find out whether it is back.
+// RandomDead returns a random dead member, so that the caller can check whether it
+// is reachable again.
 func (t *Table) RandomDead() (core.Member, bool) {
 	t.mu.RLock()
 	defer t.mu.RUnlock()
@@ -228,72 +237,75 @@
 	return dead[rand.IntN(len(dead))], true
 }
 
-// Rank returns up to n members for a key by rendezvous hashing: when a member
-// comes or goes, only the keys that it gains or held change hands.
-func (t *Table) Rank(key, place string, n int) []core.Member {
-	id := rankKey{key, place, n}
+// Rank returns up to n members of a data centre for a key, by rendezvous hashing.
+// An empty data centre stands for all. When a member is added or removed, only the
+// keys that it gains or had are assigned to another member.
+func (t *Table) Rank(key, dataCentre string, n int) []core.Member {
+	cacheKey := rankKey{key, dataCentre, n}
 	t.mu.RLock()
-	out, known := t.ranked[id]
-	if !known && t.live != nil {
-		out = rank(t.live[place], key, n)
+	out, exists := t.ranked[cacheKey]
+	if !exists && t.candidates != nil {
+		out = rank(t.candidates[dataCentre], key, n)
 	}
-	ready := known || t.live != nil
+	ready := exists || t.candidates != nil
 	t.mu.RUnlock()
-	if known {
+	if exists {
 		return out
 	}
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if !ready || t.live == nil {
-		t.arrange()
-		out = rank(t.live[place], key, n)
+	if !ready || t.candidates == nil {
+		t.buildCandidates()
+		out = rank(t.candidates[dataCentre], key, n)
 	}
-	if len(t.ranked) >= maxRanked {
-		clear(t.ranked) // mostly of request ids, which are asked for once
+	if len(t.ranked) >= maxCachedRanks {
+		clear(t.ranked) // mostly keys with request ids, which are ranked only once
 	}
-	t.ranked[id] = out
+	t.ranked[cacheKey] = out
 	return out
 }
 
-// Generation changes with every change of the list.
+// Generation returns a number that grows with each change of the list.
 func (t *Table) Generation() uint64 {
 	t.mu.RLock()
 	defer t.mu.RUnlock()
 	return t.generation
 }
 
-const maxRanked = 16384
+const maxCachedRanks = 16384
 
 type rankKey struct {
-	key, place string
-	n          int
+	key, dataCentre string
+	n               int
 }
 
-// candidate is a member that may be ranked, with the hash of its name.
+// candidate is a member that Rank may return, with the hash of its name.
 type candidate struct {
 	hash   uint64
 	member core.Member
 }
 
-// arrange lists the members that may be ranked, all under the empty place and
-// each under its own.
-func (t *Table) arrange() {
-	t.live = map[string][]candidate{}
+// buildCandidates lists the members that Rank may return: each under its data
+// centre, and all of them under the empty name.
+func (t *Table) buildCandidates() {
+	t.candidates = map[string][]candidate{}
 	for _, e := range t.entries {
 		if e.State > core.MemberSuspect || e.State == core.MemberLeaving {
 			continue
 		}
 		c := candidate{xxhash.Sum64String(e.Name), e.Member}
-		t.live[""] = append(t.live[""], c)
-		t.live[e.Place] = append(t.live[e.Place], c)
+		t.candidates[""] = append(t.candidates[""], c)
+		t.candidates[e.Place] = append(t.candidates[e.Place], c)
 	}
 }
 
+// scored is the score of the candidate at an index.
 type scored struct {
 	score uint64
 	index int
 }
 
+// rank returns the n candidates with the highest scores for a key, highest first.
 func rank(from []candidate, key string, n int) []core.Member {
 	hash := xxhash.Sum64String(key)
 	best := make([]scored, 0, n+1)
@@ -307,7 +319,7 @@
 	return out
 }
 
-// insert keeps the n highest scores, highest first.
+// insert adds a score to best, which keeps the n highest, highest first.
 func insert(best []scored, s scored, n int) []scored {
 	if len(best) == n && best[n-1].score >= s.score {
 		return best
@@ -320,7 +332,7 @@
 	return best[:min(len(best), n)]
 }
 
-// mix spreads the bits of a hash (the finaliser of MurmurHash3).
+// mix distributes the bits of a hash evenly. It is the finalizer of MurmurHash3.
 func mix(h uint64) uint64 {
 	h ^= h >> 33
 	h *= 0xff51afd7ed558ccd
--- a/coordination/member/wire.go
+++ b/coordination/member/wire.go
@@ -9,7 +9,7 @@
 	"primroseward/protocol/peerv1"
 )
 
-// ToWire makes a member's message.
+// ToWire encodes a member as a message.
 func ToWire(m core.Member) *peerv1.Member {
 	return &peerv1.Member{
 		Name:        m.Name,
@@ -22,18 +22,18 @@
 	}
 }
 
-// FromWire reads a member's message.
+// FromWire decodes the message of a member.
 func FromWire(w *peerv1.Member) (core.Member, error) {
 	if w == nil {
-		return core.Member{}, eris.Wrap(core.ErrInvalid, "no member")
+		return core.Member{}, eris.Wrap(core.ErrInvalid, "missing member")
 	}
 	peer, err := netip.ParseAddrPort(w.Peer)
 	if err != nil {
-		return core.Member{}, eris.Wrap(core.ErrInvalid, "member's peer address")
+		return core.Member{}, eris.Wrap(core.ErrInvalid, "invalid peer address of a member")
 	}
 	caller, err := netip.ParseAddrPort(w.Caller)
 	if err != nil {
-		return core.Member{}, eris.Wrap(core.ErrInvalid, "member's caller address")
+		return core.Member{}, eris.Wrap(core.ErrInvalid, "invalid caller address of a member")
 	}
 	return core.Member{
 		Name:        w.Name,
--- a/coordination/spread/snapshot.go
+++ b/coordination/spread/snapshot.go
@@ -8,23 +8,24 @@
 	"primroseward/state/tree"
 )
 
-// list takes in the platform's whole settings.
-func (s *Spreader) list(ctx context.Context) (uint64, error) {
-	at := s.clock.Now()
+// listPlatform reads all settings and the list of VMs from the platform and applies
+// them. It returns the version of the settings.
+func (s *Spreader) listPlatform(ctx context.Context) (uint64, error) {
+	readAt := s.clock.Now()
 	objects, version, err := s.platform.List(ctx, core.KindTree)
 	if err != nil {
 		return 0, err
 	}
-	seen := map[string]bool{}
+	names := map[string]bool{}
 	var branches []tree.Branch
 	for _, o := range objects {
 		b := branchesOf(core.KindTree, core.Event{Object: o})
 		branches = append(branches, b...)
-		seen[b[0].Name] = true
+		names[b[0].Name] = true
 	}
-	s.remember(seen, version)
-	s.Take(append(branches, s.vanished(seen, version)...))
-	s.confirm(at)
+	s.recordListing(names, version)
+	s.Take(append(branches, s.missingAsDeleted(names, version)...))
+	s.confirm(readAt)
 	vms, _, err := s.platform.List(ctx, core.KindVM)
 	if err != nil {
 		return 0, err
@@ -35,39 +36,41 @@
 	return version, nil
 }
 
-// remember keeps the newest snapshot's names.
-func (s *Spreader) remember(seen map[string]bool, version uint64) {
+// recordListing stores the branch names and the version of the newest listing of
+// the platform.
+func (s *Spreader) recordListing(names map[string]bool, version uint64) {
 	s.listMu.Lock()
 	defer s.listMu.Unlock()
-	if version >= s.listedAt {
-		s.listed, s.listedAt = seen, version
+	if version >= s.listedVersion {
+		s.listed, s.listedVersion = names, version
 	}
 }
 
-// vanished marks as deleted the branches that a snapshot lacks. A snapshot
-// older than a branch lacks it because it is old, so that branch stays.
-func (s *Spreader) vanished(seen map[string]bool, version uint64) []tree.Branch {
+// missingAsDeleted returns the branches that a listing of the platform does not
+// contain, marked as deleted. A branch with a version newer than the listing is kept,
+// since the listing is missing it only because of its age.
+func (s *Spreader) missingAsDeleted(names map[string]bool, version uint64) []tree.Branch {
 	var out []tree.Branch
-	for name, have := range s.replica.Versions() {
-		if !seen[name] && have < version && !strings.HasPrefix(name, tree.VMPrefix) {
+	for name, current := range s.replica.Versions() {
+		if !names[name] && current < version && !strings.HasPrefix(name, tree.VMPrefix) {
 			out = append(out, tree.Branch{Name: name, Version: version, Deleted: true})
 		}
 	}
 	return out
 }
 
-// bury turns branches into deleted ones that the latest snapshot of the
-// platform should have had and did not. A relay that starts after a deletion
-// holds no mark of it; it would otherwise take the branch back from a daemon
-// that missed the deletion, and spread it again.
-func (s *Spreader) bury(branches []tree.Branch) []tree.Branch {
+// markDeleted replaces a branch by its deletion if the newest listing of the
+// platform is at least as new as the branch and does not contain it. A relay that
+// starts after a deletion has no record of it. Without this check it would accept
+// the branch from a daemon that missed the deletion, and spread it again.
+func (s *Spreader) markDeleted(branches []tree.Branch) []tree.Branch {
 	s.listMu.Lock()
 	defer s.listMu.Unlock()
 	out := make([]tree.Branch, len(branches))
 	for i, b := range branches {
-		gone := b.Version <= s.listedAt && !s.listed[b.Name] && !strings.HasPrefix(b.Name, tree.VMPrefix)
-		if gone {
-			b = tree.Branch{Name: b.Name, Version: s.listedAt, Deleted: true}
+		deleted := b.Version <= s.listedVersion && !s.listed[b.Name] && !strings.HasPrefix(b.Name, tree.VMPrefix)
+		if deleted {
+			b = tree.Branch{Name: b.Name, Version: s.listedVersion, Deleted: true}
 		}
 		out[i] = b
 	}
--- a/coordination/spread/spread.go
+++ b/coordination/spread/spread.go
@@ -1,7 +1,7 @@
-// Package spread brings the settings tree from the platform to every daemon.
-// Two relays in each place hold the platform's watches; what they learn is
-// pushed to a few daemons, each of which pushes on what was new to it, and the
-// digest on each gossip packet finds what pushes missed.
+// Package spread distributes the settings tree from the platform to every daemon.
+// Two relays in each data centre watch the platform. They push updates to a few
+// daemons, each of which pushes those that were new to it to a few more. The
+// settings checksum in each gossip packet detects updates that the pushes missed.
 package spread
 
 import (
@@ -21,19 +21,19 @@
 )
 
 const (
-	relays       = 2
-	pushFan      = 3
-	snapshotAsk  = 3
-	pushRing     = 256
-	pullRing     = 16
-	callTimeout  = 2 * time.Second
-	relayCheck   = 500 * time.Millisecond
-	backoffFirst = 200 * time.Millisecond
-	backoffLast  = 5 * time.Second
-	neverFresh   = -1
+	relaysPerDataCentre = 2
+	pushFanout          = 3   // daemons that an update is pushed to
+	initialSources      = 3   // daemons that the first settings are pulled from
+	pushQueueLen        = 256 // in pushes
+	pullQueueLen        = 16  // in members to pull from
+	callTimeout         = 2 * time.Second
+	relayCheckInterval  = 500 * time.Millisecond
+	minBackoff          = 200 * time.Millisecond
+	maxBackoff          = 5 * time.Second
+	neverConfirmed      = -1 // result of Fresh before the first confirmation
 )
 
-// Spreader keeps a Replica in step with the platform and the other daemons.
+// Spreader synchronizes a Replica with the platform and the other daemons.
 type Spreader struct {
 	replica  *tree.Replica
 	members  core.Members
@@ -42,22 +42,22 @@
 	clock    core.Clock
 	log      *zap.Logger
 
-	listMu   sync.Mutex // guards the newest snapshot of the platform
-	listed   map[string]bool
-	listedAt uint64
+	listMu        sync.Mutex      // guards listed and listedVersion
+	listed        map[string]bool // branch names in the newest listing of the platform
+	listedVersion uint64
 
-	push      chan []tree.Branch
-	pull      chan core.Member
-	pulling   atomic.Bool
-	confirmed atomic.Pointer[time.Time] // with its monotonic reading: steps of the time of day must not make old settings look fresh
-	relaying  atomic.Bool
-	ready     chan struct{}
-	readyOnce sync.Once
-	wg        sync.WaitGroup
-	stop      context.CancelFunc
+	push        chan []tree.Branch
+	pull        chan core.Member
+	pulling     atomic.Bool
+	confirmedAt atomic.Pointer[time.Time] // includes the monotonic clock reading, so that a wall clock step cannot make old settings look fresh
+	relaying    atomic.Bool
+	ready       chan struct{}
+	readyOnce   sync.Once
+	wg          sync.WaitGroup
+	stop        context.CancelFunc
 }
 
-// New makes a Spreader.
+// New returns a Spreader.
 func New(replica *tree.Replica, members core.Members, platform core.Platform, dial peer.Dial, clock core.Clock, log *zap.Logger) *Spreader {
 	return &Spreader{
 		replica:  replica,
@@ -66,13 +66,13 @@
 		dial:     dial,
 		clock:    clock,
 		log:      log,
-		push:     make(chan []tree.Branch, pushRing),
-		pull:     make(chan core.Member, pullRing),
+		push:     make(chan []tree.Branch, pushQueueLen),
+		pull:     make(chan core.Member, pullQueueLen),
 		ready:    make(chan struct{}),
 	}
 }
 
-// Start begins to learn and to pass on.
+// Start starts reading settings and distributing them.
 func (s *Spreader) Start() {
 	ctx, cancel := context.WithCancel(context.Background())
 	s.stop = cancel
@@ -82,34 +82,35 @@
 	go s.runRelay(ctx)
 }
 
-// Stop ends it.
+// Stop ends all goroutines and waits for them.
 func (s *Spreader) Stop() {
 	s.stop()
 	s.wg.Wait()
 }
 
-// Ready is closed once there are settings to serve by.
+// Ready returns a channel that is closed once the daemon has settings.
 func (s *Spreader) Ready() <-chan struct{} { return s.ready }
 
-// Relaying says whether this daemon holds a watch.
+// Relaying reports whether this daemon watches the platform.
 func (s *Spreader) Relaying() bool { return s.relaying.Load() }
 
-// Sum is the digest of the settings held.
+// Sum returns the checksum of this daemon's settings.
 func (s *Spreader) Sum() uint64 { return s.replica.Sum() }
 
-// Fresh is the time since the settings held were confirmed to be the
-// platform's; negative if never.
+// Fresh returns the time since this daemon's settings were last confirmed to be
+// those of the platform. It is negative if they never were.
 func (s *Spreader) Fresh() time.Duration {
-	at := s.confirmed.Load()
+	at := s.confirmedAt.Load()
 	if at == nil {
-		return neverFresh
+		return neverConfirmed
 	}
 	return max(0, s.clock.Since(*at))
 }
 
-// Heard takes in another member's digest: other settings are asked for, and
-// for equal ones the other's confirmation counts here too.
-func (s *Spreader) Heard(from core.Member, sum uint64, fresh time.Duration) {
+// ReceiveState handles the settings state of another member. If the checksums
+// differ, this daemon pulls from that member, unless a pull is under way. If they are equal, the member's
+// confirmation by the platform applies to this daemon's settings too.
+func (s *Spreader) ReceiveState(from core.Member, sum uint64, fresh time.Duration) {
 	if sum != s.replica.Sum() {
 		if s.pulling.CompareAndSwap(false, true) {
 			select {
@@ -125,31 +126,33 @@
 	}
 }
 
+// confirm records that the settings were those of the platform at a time. An
+// earlier time than the recorded one is ignored.
 func (s *Spreader) confirm(at time.Time) {
 	for {
-		have := s.confirmed.Load()
-		if have != nil && !at.After(*have) || s.confirmed.CompareAndSwap(have, &at) {
+		current := s.confirmedAt.Load()
+		if current != nil && !at.After(*current) || s.confirmedAt.CompareAndSwap(current, &at) {
 			return
 		}
 	}
 }
 
-// Take applies branches and passes on those that were new.
+// Take applies branches and pushes those that were new to other daemons.
 func (s *Spreader) Take(branches []tree.Branch) {
-	taken := s.replica.Apply(s.bury(branches))
+	applied := s.replica.Apply(s.markDeleted(branches))
 	if s.replica.Tree() != nil {
 		s.readyOnce.Do(func() { close(s.ready) })
 	}
-	if len(taken) == 0 {
+	if len(applied) == 0 {
 		return
 	}
 	select {
-	case s.push <- taken:
-	default: // the digest on gossip makes up for a push that is dropped
+	case s.push <- applied:
+	default: // the queue is full; daemons that miss the push pull later, when the checksums in gossip differ
 	}
 }
 
-// runPush passes new branches to a few random daemons.
+// runPush pushes new branches to a few random daemons.
 func (s *Spreader) runPush(ctx context.Context) {
 	defer s.wg.Done()
 	for {
@@ -158,46 +161,48 @@
 			return
 		case branches := <-s.push:
 			msg := ToWire(branches)
-			for _, m := range s.targets() {
+			for _, m := range s.pushTargets() {
 				s.pushTo(ctx, m, msg)
 			}
 		}
 	}
 }
 
+// pushTo pushes branches to one daemon.
 func (s *Spreader) pushTo(ctx context.Context, m core.Member, msg *peerv1.Branches) {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	_, err := s.dial(m.Peer).Push(ctx, connect.NewRequest(msg))
 	if err != nil {
-		s.log.Debug("push of settings failed", zap.String("member", m.Name), zap.Error(err))
+		s.log.Debug("cannot push settings", zap.String("member", m.Name), zap.Error(err))
 	}
 }
 
-// targets picks daemons of the own place first, and one of elsewhere.
-func (s *Spreader) targets() []core.Member {
+// pushTargets returns up to pushFanout random daemons: up to pushFanout-1 from this
+// data centre, and the rest from other data centres.
+func (s *Spreader) pushTargets() []core.Member {
 	self := s.members.Self()
-	var near, far []core.Member
+	var local, remote []core.Member
 	for _, m := range s.members.All() {
 		switch {
 		case m.Name == self.Name || m.State >= core.MemberSuspect:
 		case m.Place == self.Place:
-			near = append(near, m)
+			local = append(local, m)
 		default:
-			far = append(far, m)
+			remote = append(remote, m)
 		}
 	}
-	shuffle(near)
-	shuffle(far)
-	out := near[:min(len(near), pushFan-1)]
-	return append(out, far[:min(len(far), pushFan-len(out))]...)
+	shuffle(local)
+	shuffle(remote)
+	out := local[:min(len(local), pushFanout-1)]
+	return append(out, remote[:min(len(remote), pushFanout-len(out))]...)
 }
 
 func shuffle(m []core.Member) {
 	rand.Shuffle(len(m), func(i, j int) { m[i], m[j] = m[j], m[i] })
 }
 
-// runPull asks daemons with other settings for what is newer there.
+// runPull pulls newer branches from daemons whose settings differ.
 func (s *Spreader) runPull(ctx context.Context) {
 	defer s.wg.Done()
 	for {
@@ -211,6 +216,7 @@
 	}
 }
 
+// pullFrom pulls the branches that are newer at a daemon.
 func (s *Spreader) pullFrom(ctx context.Context, m core.Member) error {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
@@ -226,43 +232,44 @@
 	return nil
 }
 
-// runRelay takes the first snapshot, then holds the platform's watches for as
-// long as this daemon is one of its place's relays.
+// runRelay loads the first settings and then watches the platform for as long as
+// this daemon is one of the relays of its data centre.
 func (s *Spreader) runRelay(ctx context.Context) {
 	defer s.wg.Done()
-	s.firstSnapshot(ctx)
-	wait := backoffFirst
+	s.loadInitial(ctx)
+	backoff := minBackoff
 	for ctx.Err() == nil {
 		if !s.isRelay() {
 			s.relaying.Store(false)
-			core.Sleep(ctx, s.clock, relayCheck)
+			core.Sleep(ctx, s.clock, relayCheckInterval)
 			continue
 		}
-		began := s.clock.Now()
-		s.relay(ctx)
-		if s.clock.Since(began) > backoffLast {
-			wait = backoffFirst
+		startedAt := s.clock.Now()
+		s.watchPlatform(ctx)
+		if s.clock.Since(startedAt) > maxBackoff {
+			backoff = minBackoff
 		}
 		s.relaying.Store(false)
-		// Jitter: after an outage the relays of all places would otherwise
-		// come back in the same instant and bring the platform down again.
-		core.Sleep(ctx, s.clock, wait/2+rand.N(wait))
-		wait = min(2*wait, backoffLast)
+		// Without jitter the relays of all data centres would reconnect at the
+		// same moment after an outage and overload the platform again.
+		core.Sleep(ctx, s.clock, backoff/2+rand.N(backoff))
+		backoff = min(2*backoff, maxBackoff)
 	}
 }
 
-// firstSnapshot asks several peers, since one alone may lag, and the platform
-// when too few answer.
-func (s *Spreader) firstSnapshot(ctx context.Context) {
-	for wait := backoffFirst; ctx.Err() == nil; wait = min(2*wait, backoffLast) {
+// loadInitial loads the first settings. It pulls from several daemons, since a
+// single one may have outdated settings, and reads from the platform if too few of
+// them answer.
+func (s *Spreader) loadInitial(ctx context.Context) {
+	for backoff := minBackoff; ctx.Err() == nil; backoff = min(2*backoff, maxBackoff) {
 		answers := 0
-		for _, m := range s.members.Rank("snapshot/"+s.members.Self().Name, "", snapshotAsk+1) {
+		for _, m := range s.members.Rank("snapshot/"+s.members.Self().Name, "", initialSources+1) {
 			if m.Name != s.members.Self().Name && s.pullFrom(ctx, m) == nil {
 				answers++
 			}
 		}
-		if answers < snapshotAsk {
-			_, err := s.list(ctx)
+		if answers < initialSources {
+			_, err := s.listPlatform(ctx)
 			if err != nil {
 				s.log.Warn("settings cannot be read from the platform", zap.Error(err))
 			}
@@ -270,13 +277,14 @@
 		if s.replica.Tree() != nil {
 			return
 		}
-		core.Sleep(ctx, s.clock, wait/2+rand.N(wait))
+		core.Sleep(ctx, s.clock, backoff/2+rand.N(backoff))
 	}
 }
 
+// isRelay reports whether this daemon is one of the relays of its data centre.
 func (s *Spreader) isRelay() bool {
 	self := s.members.Self()
-	for _, m := range s.members.Rank("relay", self.Place, relays) {
+	for _, m := range s.members.Rank("relay", self.Place, relaysPerDataCentre) {
 		if m.Name == self.Name {
 			return true
 		}
@@ -284,9 +292,10 @@
 	return false
 }
 
-// relay holds the watches until one breaks or this daemon is no relay.
-func (s *Spreader) relay(ctx context.Context) {
-	version, err := s.list(ctx)
+// watchPlatform watches the platform until a watch ends or this daemon is no longer
+// a relay.
+func (s *Spreader) watchPlatform(ctx context.Context) {
+	version, err := s.listPlatform(ctx)
 	if err != nil {
 		s.log.Warn("settings cannot be read from the platform", zap.Error(err))
 		return
@@ -300,12 +309,14 @@
 		go s.runWatch(ctx, cancel, &wg, kind, version)
 	}
 	for s.isRelay() && ctx.Err() == nil {
-		core.Sleep(ctx, s.clock, relayCheck)
+		core.Sleep(ctx, s.clock, relayCheckInterval)
 	}
 	cancel()
 	wg.Wait()
 }
 
+// runWatch applies the events of one kind of object, starting at a version. It
+// cancels the other watch when it ends.
 func (s *Spreader) runWatch(ctx context.Context, cancel func(), wg *sync.WaitGroup, kind string, version uint64) {
 	defer wg.Done()
 	defer cancel()
@@ -322,7 +333,7 @@
 	}
 }
 
-// Newer answers a Pull.
+// Newer returns the branches that are newer here than in a Pull request.
 func (s *Spreader) Newer(req *peerv1.Versions) *peerv1.Branches {
 	versions := map[string]uint64{}
 	for _, v := range req.Versions {
--- a/coordination/spread/spread_test.go
+++ b/coordination/spread/spread_test.go
@@ -26,19 +26,18 @@
 
 func TestMain(m *testing.M) { fuzz.Main(m, 400, 60) }
 
-// store is a platform in memory that can be down, slow to show its newest
-// state, or lose the answer of a write.
+// store is an in-memory platform that can be down or list an outdated state.
 type store struct {
 	core.Platform
-	version uint64
-	objects map[string]core.Object
-	old     []core.Object // an earlier snapshot
-	oldAt   uint64
-	down    bool
-	stale   bool
+	version    uint64
+	objects    map[string]core.Object
+	oldObjects []core.Object // listed while stale is set
+	oldVersion uint64
+	down       bool
+	stale      bool
 }
 
-func (p *store) snapshot() ([]core.Object, uint64) {
+func (p *store) listObjects() ([]core.Object, uint64) {
 	var out []core.Object
 	for _, o := range p.objects {
 		out = append(out, o)
@@ -54,13 +53,14 @@
 		return nil, p.version, nil
 	}
 	if p.stale {
-		return p.old, p.oldAt, nil
+		return p.oldObjects, p.oldVersion, nil
 	}
-	objects, version := p.snapshot()
+	objects, version := p.listObjects()
 	return objects, version, nil
 }
 
-// accept makes an edit of a branch that names the version it was made from.
+// accept edits a branch if the platform is up and the branch still has the version
+// that the edit is based on.
 func (p *store) accept(branch string, from uint64) bool {
 	if p.down || p.objects[branch].Version != from {
 		return false
@@ -71,13 +71,13 @@
 	return true
 }
 
-// node is one daemon: its settings live in memory only.
+// node is a daemon. Its settings are in memory only.
 type node struct {
 	peerv1connect.PeerClient
-	name    string
-	replica *tree.Replica
-	spread  *Spreader
-	highest map[string]uint64 // since its start
+	name         string
+	replica      *tree.Replica
+	spread       *Spreader
+	lastVersions map[string]uint64 // versions at the last check since its start
 }
 
 func (n *node) Push(_ context.Context, r *connect.Request[peerv1.Branches]) (*connect.Response[peerv1.Empty], error) {
@@ -89,32 +89,32 @@
 	return connect.NewResponse(n.spread.Newer(r.Msg)), nil
 }
 
-// cutClient is the client of a daemon that cannot be reached.
-type cutClient struct{ peerv1connect.PeerClient }
+// unreachableClient is the client of an unreachable daemon.
+type unreachableClient struct{ peerv1connect.PeerClient }
 
-func (cutClient) Push(context.Context, *connect.Request[peerv1.Branches]) (*connect.Response[peerv1.Empty], error) {
+func (unreachableClient) Push(context.Context, *connect.Request[peerv1.Branches]) (*connect.Response[peerv1.Empty], error) {
 	return nil, core.ErrUnavailable
 }
 
-func (cutClient) Pull(context.Context, *connect.Request[peerv1.Versions]) (*connect.Response[peerv1.Branches], error) {
+func (unreachableClient) Pull(context.Context, *connect.Request[peerv1.Versions]) (*connect.Response[peerv1.Branches], error) {
 	return nil, core.ErrUnavailable
 }
 
-const nodes = 4
+const nodeCount = 4
 
-// fleet is some daemons with cuts between them, and the platform.
+// fleet is a platform and several daemons, some of which cannot reach each other.
 type fleet struct {
-	platform *store
-	nodes    [nodes]*node
-	cut      map[[2]int]bool
+	platform     *store
+	nodes        [nodeCount]*node
+	disconnected map[[2]int]bool
 }
 
 func newFleet() *fleet {
-	f := &fleet{platform: &store{objects: map[string]core.Object{}}, cut: map[[2]int]bool{}}
+	f := &fleet{platform: &store{objects: map[string]core.Object{}}, disconnected: map[[2]int]bool{}}
 	f.platform.accept(tree.Root, 0)
-	f.platform.old, f.platform.oldAt = f.platform.snapshot()
-	for i := range nodes {
-		f.boot(i)
+	f.platform.oldObjects, f.platform.oldVersion = f.platform.listObjects()
+	for i := range nodeCount {
+		f.start(i)
 	}
 	return f
 }
@@ -123,21 +123,21 @@
 	return netip.AddrPortFrom(netip.MustParseAddr("127.0.0.1"), uint16(i+1))
 }
 
-// boot starts a daemon with empty memory.
-func (f *fleet) boot(i int) {
+// start starts a daemon without any settings.
+func (f *fleet) start(i int) {
 	clock := clockwork.NewFakeClock()
-	someone := func(k int) core.Member {
+	testMember := func(k int) core.Member {
 		return core.Member{Name: fmt.Sprint("n", k), Place: "a", Peer: addrOf(k), Caller: addrOf(k), Incarnation: 1}
 	}
-	table := member.NewTable(clock, someone(i))
-	for k := range nodes {
-		table.Merge(someone(k))
+	table := member.NewTable(clock, testMember(i))
+	for k := range nodeCount {
+		table.Merge(testMember(k))
 	}
-	n := &node{name: fmt.Sprint("n", i), replica: tree.NewReplica(), highest: map[string]uint64{}}
+	n := &node{name: fmt.Sprint("n", i), replica: tree.NewReplica(), lastVersions: map[string]uint64{}}
 	dial := func(to netip.AddrPort) peerv1connect.PeerClient {
 		k := int(to.Port()) - 1
-		if f.cut[pairOf(i, k)] {
-			return cutClient{}
+		if f.disconnected[nodePair(i, k)] {
+			return unreachableClient{}
 		}
 		return f.nodes[k]
 	}
@@ -145,14 +145,14 @@
 	f.nodes[i] = n
 }
 
-func pairOf(a, b int) [2]int { return [2]int{min(a, b), max(a, b)} }
+func nodePair(a, b int) [2]int { return [2]int{min(a, b), max(a, b)} }
 
 func (f *fleet) drainPushes(i int) {
 	n := f.nodes[i]
 	for {
 		select {
 		case branches := <-n.spread.push:
-			for _, m := range n.spread.targets() {
+			for _, m := range n.spread.pushTargets() {
 				n.spread.pushTo(context.Background(), m, ToWire(branches))
 			}
 		default:
@@ -161,33 +161,33 @@
 	}
 }
 
-// check: no daemon's version falls while it lives, and none is ahead of what
-// was accepted.
-func (f *fleet) check(t *rapid.T) {
+// checkVersions fails the test if the version of any branch at a daemon has
+// decreased since the daemon's start.
+func (f *fleet) checkVersions(t *rapid.T) {
 	for _, n := range f.nodes {
 		versions := n.replica.Versions()
-		for branch, was := range n.highest {
-			if versions[branch] < was {
-				t.Fatalf("%s: %s went from %d to %d", n.name, branch, was, versions[branch])
+		for branch, last := range n.lastVersions {
+			if versions[branch] < last {
+				t.Fatalf("%s: %s went from %d to %d", n.name, branch, last, versions[branch])
 			}
 		}
-		n.highest = versions
+		n.lastVersions = versions
 	}
 }
 
-// Settings that an operator narrowed come back to life, or never arrive: edits
-// race, daemons are cut from each other and restart with empty memory, relays
-// read old snapshots, the platform is down, pushes are lost. While it lasts no
-// daemon goes back; once all of it has healed, every daemon has exactly what was
-// accepted last.
+// Guards against narrowed settings that become valid again or never arrive. Edits
+// race, daemons cannot reach each other and restart without settings, relays read
+// outdated listings, the platform is down, and pushes and answers to edits are lost.
+// During these faults no daemon returns to an older version. After they have ended,
+// every daemon has exactly the settings that were accepted last.
 func TestSettingsConverge(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		f := newFleet()
-		some := func(t *rapid.T) int { return rapid.IntRange(0, nodes-1).Draw(t, "node") }
+		randomNode := func(t *rapid.T) int { return rapid.IntRange(0, nodeCount-1).Draw(t, "node") }
 		t.Repeat(map[string]func(*rapid.T){
-			"": f.check,
+			"": f.checkVersions,
 			"edit": func(t *rapid.T) {
-				i := some(t)
+				i := randomNode(t)
 				branch := rapid.SampledFrom([]string{tree.Root, "service/s", "model/m"}).Draw(t, "branch")
 				from := f.platform.objects[branch].Version
 				if rapid.IntRange(0, 3).Draw(t, "old") == 0 {
@@ -198,10 +198,10 @@
 					f.nodes[i].spread.Take([]tree.Branch{{Name: branch, Version: o.Version, Body: o.Body}})
 				}
 			},
-			"relay reads": func(t *rapid.T) { _, _ = f.nodes[some(t)].spread.list(context.Background()) },
-			"old event": func(t *rapid.T) {
-				for _, o := range f.platform.old {
-					f.nodes[some(t)].spread.Take(branchesOf(core.KindTree, core.Event{Object: o}))
+			"relay lists platform": func(t *rapid.T) { _, _ = f.nodes[randomNode(t)].spread.listPlatform(context.Background()) },
+			"outdated event": func(t *rapid.T) {
+				for _, o := range f.platform.oldObjects {
+					f.nodes[randomNode(t)].spread.Take(branchesOf(core.KindTree, core.Event{Object: o}))
 				}
 			},
 			"delete": func(t *rapid.T) {
@@ -209,29 +209,29 @@
 					f.platform.version++
 					delete(f.platform.objects, "model/m")
 					o.Version = f.platform.version
-					f.nodes[some(t)].spread.Take(branchesOf(core.KindTree, core.Event{Object: o, Deleted: true}))
+					f.nodes[randomNode(t)].spread.Take(branchesOf(core.KindTree, core.Event{Object: o, Deleted: true}))
 				}
 			},
-			"push": func(t *rapid.T) { f.drainPushes(some(t)) },
+			"push": func(t *rapid.T) { f.drainPushes(randomNode(t)) },
 			"lose push": func(t *rapid.T) {
 				select {
-				case <-f.nodes[some(t)].spread.push:
+				case <-f.nodes[randomNode(t)].spread.push:
 				default:
 				}
 			},
 			"pull": func(t *rapid.T) {
-				i, k := some(t), some(t)
+				i, k := randomNode(t), randomNode(t)
 				m, err := f.nodes[i].spread.members.Get(fmt.Sprint("n", k))
 				assert.NilError(t, err)
 				_ = f.nodes[i].spread.pullFrom(context.Background(), m)
 			},
-			"cut":     func(t *rapid.T) { f.cut[pairOf(some(t), some(t))] = rapid.Bool().Draw(t, "cut") },
-			"restart": func(t *rapid.T) { f.boot(some(t)) },
+			"cut":     func(t *rapid.T) { f.disconnected[nodePair(randomNode(t), randomNode(t))] = rapid.Bool().Draw(t, "cut") },
+			"restart": func(t *rapid.T) { f.start(randomNode(t)) },
 			"platform": func(t *rapid.T) {
 				f.platform.down = rapid.Bool().Draw(t, "down")
 				f.platform.stale = rapid.Bool().Draw(t, "stale")
 				if !f.platform.stale {
-					f.platform.old, f.platform.oldAt = f.platform.snapshot()
+					f.platform.oldObjects, f.platform.oldVersion = f.platform.listObjects()
 				}
 			},
 		})
@@ -239,21 +239,22 @@
 	})
 }
 
-// heal ends all faults, lets one relay read and gossip run for a few rounds.
+// heal ends all faults, lets one relay read from the platform, and runs a few rounds
+// of pushes and pulls. Then all daemons must have the accepted settings.
 func (f *fleet) heal(t *rapid.T) {
 	f.platform.down, f.platform.stale = false, false
-	clear(f.cut)
-	_, err := f.nodes[0].spread.list(context.Background())
+	clear(f.disconnected)
+	_, err := f.nodes[0].spread.listPlatform(context.Background())
 	assert.NilError(t, err)
-	for range 2 * nodes { // news may have to go round the ring twice
-		for i := range nodes {
+	for range 2 * nodeCount { // an update may have to go round the ring of daemons twice
+		for i := range nodeCount {
 			f.drainPushes(i)
-			m, err := f.nodes[i].spread.members.Get(fmt.Sprint("n", (i+1)%nodes))
+			m, err := f.nodes[i].spread.members.Get(fmt.Sprint("n", (i+1)%nodeCount))
 			assert.NilError(t, err)
 			assert.NilError(t, f.nodes[i].spread.pullFrom(context.Background(), m))
 		}
 	}
-	f.check(t)
+	f.checkVersions(t)
 	for _, n := range f.nodes {
 		assert.DeepEqual(t, n.replica.Versions(), f.nodes[0].replica.Versions())
 		inForce := n.replica.Nodes()
@@ -264,20 +265,20 @@
 	}
 }
 
-// Two members with the same settings share the platform's confirmation; one
-// with others does not.
-func TestFreshnessTravelsWithEqualSettings(t *testing.T) {
+// A member with equal settings adopts another's confirmation by the platform; one
+// with different settings does not.
+func TestEqualSettingsShareConfirmation(t *testing.T) {
 	f := newFleet()
-	_, err := f.nodes[0].spread.list(context.Background())
+	_, err := f.nodes[0].spread.listPlatform(context.Background())
 	assert.NilError(t, err)
 	assert.Equal(t, f.nodes[0].spread.Fresh(), time.Duration(0))
 	assert.Assert(t, f.nodes[1].spread.Fresh() < 0)
 	from := core.Member{Name: "n0"}
-	f.nodes[1].spread.Heard(from, f.nodes[0].replica.Sum(), time.Second)
-	assert.Assert(t, f.nodes[1].spread.Fresh() < 0, "it holds other settings")
+	f.nodes[1].spread.ReceiveState(from, f.nodes[0].replica.Sum(), time.Second)
+	assert.Assert(t, f.nodes[1].spread.Fresh() < 0, "its settings differ")
 	m, err := f.nodes[1].spread.members.Get("n0")
 	assert.NilError(t, err)
 	assert.NilError(t, f.nodes[1].spread.pullFrom(context.Background(), m))
-	f.nodes[1].spread.Heard(from, f.nodes[0].replica.Sum(), time.Second)
+	f.nodes[1].spread.ReceiveState(from, f.nodes[0].replica.Sum(), time.Second)
 	assert.Equal(t, f.nodes[1].spread.Fresh(), time.Second)
 }
--- a/coordination/spread/wire.go
+++ b/coordination/spread/wire.go
@@ -13,9 +13,9 @@
 	State string `json:"state"` // live or leaving
 }
 
-// branchesOf turns an object into what is spread. Of the platform's VM list
-// only the leaving ones travel; the live ones would be thousands of entries
-// that nobody needs.
+// branchesOf converts an object of the platform to the branches that are
+// distributed. Of the VMs only leaving ones are distributed: the live ones would be
+// thousands of entries that no daemon needs.
 func branchesOf(kind string, e core.Event) []tree.Branch {
 	o := e.Object
 	if kind == core.KindTree {
@@ -28,7 +28,7 @@
 	return []tree.Branch{{Name: tree.VMPrefix + o.Name, Version: o.Version, Deleted: e.Deleted || vm.State != tree.VMLeaving}}
 }
 
-// ToWire makes the message of branches.
+// ToWire encodes branches as a message.
 func ToWire(branches []tree.Branch) *peerv1.Branches {
 	msg := &peerv1.Branches{}
 	for _, b := range branches {
@@ -37,7 +37,7 @@
 	return msg
 }
 
-// FromWire reads the message of branches.
+// FromWire decodes a message of branches.
 func FromWire(msg *peerv1.Branches) []tree.Branch {
 	out := make([]tree.Branch, 0, len(msg.Branches))
 	for _, b := range msg.Branches {
