--- a/coordination/entry/attempts.go
+++ b/coordination/entry/attempts.go
@@ -44,11 +44,11 @@
 	request      *Ask
 	held         *answer.Held
 	relay        *relay
-	excluded     map[string]bool // runners that refused the request or failed
-	lastErr      *core.RequestError
-	possibleRuns int // attempts that may have run
+	excluded     map[string]bool    // runners that refused the request or failed
+	lastErr      *core.RequestError // returned to the caller if no attempt succeeds
+	possibleRuns int                // attempts that may have run
 	retries      int
-	attemptCount int
+	attemptCount int // attempts made, including refused ones
 }
 
 // runAttempts sends the request to one runner after another until an answer is
@@ -71,10 +71,10 @@
 		if err == nil {
 			return nil
 		}
-		if stop := x.afterFailure(ctx, runner, err); stop == errAnswerComplete {
+		if final := x.afterFailure(ctx, runner, err); final == errAnswerComplete {
 			return nil
-		} else if stop != nil {
-			return stop
+		} else if final != nil {
+			return final
 		}
 	}
 	return x.lastErr
--- a/coordination/entry/entry.go
+++ b/coordination/entry/entry.go
@@ -77,8 +77,8 @@
 func WithScope(s tally.Scope) Option { return func(e *Entry) { e.scope = s } }
 
 // WithHeld sets how many bytes of finished answers are stored, and for how long.
-func WithHeld(limit int64, life time.Duration) Option {
-	return func(e *Entry) { e.answers = answer.NewKeep(e.clock, limit, life) }
+func WithHeld(maxBytes int64, ttl time.Duration) Option {
+	return func(e *Entry) { e.answers = answer.NewKeep(e.clock, maxBytes, ttl) }
 }
 
 // WithGuard sets the guard that admits or refuses each attempt.
--- a/coordination/entry/held.go
+++ b/coordination/entry/held.go
@@ -32,8 +32,8 @@
 // are dropped.
 const maxPointers = 200000
 
-func newPointerTable(clock core.Clock, life time.Duration) *pointerTable {
-	return &pointerTable{clock: clock, ttl: life, byKey: map[string]pointer{}}
+func newPointerTable(clock core.Clock, ttl time.Duration) *pointerTable {
+	return &pointerTable{clock: clock, ttl: ttl, byKey: map[string]pointer{}}
 }
 
 func (p *pointerTable) put(key, member string) {
--- a/coordination/spread/spread.go
+++ b/coordination/spread/spread.go
@@ -108,8 +108,9 @@
 }
 
 // ReceiveState handles the settings state of another member. If the checksums
-// differ, this daemon pulls from that member, unless a pull is under way. If they are equal, the member's
-// confirmation by the platform applies to this daemon's settings too.
+// differ, this daemon pulls from that member, unless a pull is in progress. If they
+// are equal, the member's confirmation by the platform applies to this daemon's
+// settings too.
 func (s *Spreader) ReceiveState(from core.Member, sum uint64, fresh time.Duration) {
 	if sum != s.replica.Sum() {
 		if s.pulling.CompareAndSwap(false, true) {
