--- a/core/config.go
+++ b/core/config.go
@@ -141,7 +141,8 @@
 	return false
 }
 
-// Index builds the lookup tables. It must be called before the config is shared.
+// Index builds the lookup tables. It must be called once, before the config
+// is shared.
 func (c *Config) Index() {
 	c.hosts = make(map[string][]*Route)
 	for i := range c.Routes {
@@ -187,8 +188,8 @@
 // several combinations of workspace and route priority share one if there are too many.
 const maxRank = 9
 
-// assignRanks assigns a assignRanks to each combination of workspace and route priority, and finds the
-// most urgent assignRanks of each service.
+// assignRanks assigns a rank to each combination of workspace and route priority, and finds
+// the most urgent rank of each service.
 func (c *Config) assignRanks() {
 	c.ranks = map[rankKey]int{}
 	for i := range c.Routes {
@@ -241,7 +242,7 @@
 	return rankKey{w.Priority, r.Priority}
 }
 
-// addRank updates Ranked and Urgent with the addRank of some of the service's requests.
+// addRank updates Ranked and Urgent with the rank of some of the service's requests.
 func (s *Service) addRank(rank int, seen bool) {
 	if seen && s.Urgent != rank {
 		s.Ranked = true
--- a/core/request.go
+++ b/core/request.go
@@ -27,7 +27,7 @@
 	Counted   bool   // Input and MaxOutput are given
 	LastEvent string // id of the last event that the caller has received
 	Caller    netip.Addr
-	Digest    Digest     // the same when the caller retries
+	Digest    Digest     // of the request, the same when the caller retries
 	Key       KeyID      // of the caller, if callers need a key
 	Workspace *Workspace // to which the key belongs; nil: no key is needed
 }
--- a/core/runner.go
+++ b/core/runner.go
@@ -17,19 +17,19 @@
 // its ID. The new instance holds nothing of what the former one held; Born distinguishes
 // the two.
 type Runner struct {
-	ID       string
-	Born     time.Time // start of the instance; zero if not given
-	Service  string
-	Addr     netip.AddrPort
-	Place    string
-	Slots    int
-	Draining bool
-	Leaves   time.Duration // time until it is removed; 0: not announced
-	Warming  time.Duration // for how much longer it is slow after its start
-	Sequence uint64        // orders accepted so far
-	Holdings []Holding
-	OnDisk   []string // models that load from the runner's own disk
-	InMemory []string // models that load from the runner's own memory
+	ID         string
+	Born       time.Time // start of the instance; zero if not given
+	Service    string
+	Addr       netip.AddrPort
+	Place      string
+	Slots      int
+	Draining   bool
+	Leaves     time.Duration // time until it is removed; 0: not announced
+	WarmUpLeft time.Duration // for how much longer it is slow after its start
+	Sequence   uint64        // orders accepted so far
+	Holdings   []Holding
+	OnDisk     []string // models that load from the runner's own disk
+	InMemory   []string // models that load from the runner's own memory
 }
 
 // Holds reports whether the runner has a model in memory.
--- a/core/workspace.go
+++ b/core/workspace.go
@@ -22,11 +22,11 @@
 	Code     Code // hash of the name, used in messages between daemons
 	Keys     []KeyID
 	Priority int     // 0 is the most urgent; takes precedence over the route's
-	Rate     float64 // units per second, over all daemons; 0 with Burst 0: no allowance
+	Rate     float64 // units per second, over all daemons; 0 with Burst 0: unlimited
 	Burst    float64 // units beyond that, over all daemons
 	Unit     Unit
-	// PlainTokens is the number of tokens charged for a request that does not state them.
-	PlainTokens float64
+	// DefaultTokens is the number of tokens charged for a request that does not state them.
+	DefaultTokens float64
 	// Invalid marks an allowance that could not be read: all requests are refused.
 	Invalid bool
 }
@@ -40,7 +40,7 @@
 	case w.Unit == UnitRequests:
 		return 1
 	case !q.Counted:
-		return w.PlainTokens
+		return w.DefaultTokens
 	default:
 		return float64(q.Input + q.MaxOutput)
 	}
