--- a/core/guard.go
+++ b/core/guard.go
@@ -9,7 +9,8 @@
 // CodeHeld is the code of answers to requests that are on hold.
 const CodeHeld = "held_back"
 
-// Guard puts requests on hold under which runners have exited (see quarantine).
+// Guard is the quarantine of requests: it puts a digest on hold if runners have exited
+// under requests with it.
 type Guard interface {
 	// Held returns for how much longer a request is on hold, 0 if it is not on hold or a
 	// trial may run.
--- a/io/logs/names.go
+++ b/io/logs/names.go
@@ -64,7 +64,7 @@
 	StreamEnded = "stream ended"
 	// AnswerEnded: the answer to a plain request has arrived: its status, and how long it took.
 	AnswerEnded = "answer ended"
-	// Refused: the caller gets an answer that the request has not run and when to retry.
+	// Refused: the caller gets an answer stating that the request has not run and when to retry.
 	Refused = "refused"
 	// RefusedBySettings: the settings tree does not allow the request now; with the node that
 	// forbids it.
