--- a/services/fleet/admin.go
+++ b/services/fleet/admin.go
@@ -19,12 +19,12 @@
 	"primroseward/transport/admin"
 )
 
-// ageStep is how exactly ages are shown.
-const ageStep = 100 * time.Millisecond
+// ageResolution is the resolution of the ages that are shown.
+const ageResolution = 100 * time.Millisecond
 
-// admin is the operators' API. Without a token in the settings file it only
-// tells: whoever reaches the metrics could edit the settings otherwise. Operators
-// then edit the store.
+// admin returns the operators' API. It is read-only if the settings file has no token:
+// otherwise anybody who can reach the metrics could edit the settings. Operators then edit
+// the settings in the store.
 func (d *Daemon) admin() *admin.Admin {
 	trees := service.New(d.settings, d.store, applier{d.settings}, d.clock, service.WithOffered(d.offers))
 	return &admin.Admin{
@@ -34,13 +34,14 @@
 	}
 }
 
-// offers says whether the configuration has a service, or a model of any.
+// offers reports whether the configuration has the named service, or the named model in any
+// service.
 func (d *Daemon) offers(kind, name string) bool {
 	config := d.catalog.Config()
 	return config != nil && config.Offers(kind == tree.ElemService, name)
 }
 
-// workspaces tells of the allowances of the configuration in force.
+// workspaces returns the allowances of the workspaces of the configuration in force.
 func (d *Daemon) workspaces() []workspaces.Status {
 	config := d.catalog.Config()
 	if config == nil {
@@ -49,7 +50,7 @@
 	return workspaces.List(config.Workspaces, d.allowances.States())
 }
 
-// problems are those of the settings tree and of the configuration in force.
+// problems returns the problems of the settings tree and of the configuration in force.
 func (d *Daemon) problems() []string {
 	out := d.settings.Problems()
 	if config := d.catalog.Config(); config != nil {
@@ -58,20 +59,21 @@
 	return out
 }
 
-// applier takes in what an edit at this daemon has written. The others learn of it
-// from the store.
+// applier applies the branches that an edit at this daemon has written. The other daemons
+// read them from the store.
 type applier struct{ settings *tree.Replica }
 
 // Take implements service.Taker.
 func (a applier) Take(branches []tree.Branch) { a.settings.Apply(branches) }
 
-// statuses tells of the system by what the daemons tell each other.
+// statuses derives the status of the system from the state that the daemons send each other.
 type statuses struct {
 	d     *Daemon
 	trees *service.Service
 }
 
-// Status compares what the store has accepted with what each daemon knows.
+// Status compares the versions that the store has accepted with the versions that each
+// daemon has.
 func (s *statuses) Status(ctx context.Context) service.Status {
 	accepted, ok := s.trees.Accepted(ctx)
 	out := service.Status{Platform: ok, InForce: ok, Problems: s.d.problems()}
@@ -91,7 +93,7 @@
 	for _, p := range alive {
 		m := service.MemberStatus{Name: p.Name, Place: p.Place, State: "live", Reached: true, Behind: behind[p.Name], Fresh: "never", Planner: p.Term > 0, Relay: !p.Failing}
 		if p.Confirmed >= 0 {
-			m.Fresh = p.Confirmed.Round(ageStep).String()
+			m.Fresh = p.Confirmed.Round(ageResolution).String()
 		}
 		if p.Leaving {
 			m.State = "leaving"
@@ -106,7 +108,7 @@
 	return out
 }
 
-// runners tells of the runners that this daemon knows.
+// runners returns the state of the runners in this daemon's catalog.
 type runners struct{ d *Daemon }
 
 // Runners implements admin.Fleet.
@@ -146,14 +148,14 @@
 
 func megabytes(mb float64) int64 { return int64(mb * 1e6) }
 
-// Moves implements admin.Fleet: only the daemon that sends the orders knows.
+// Moves implements admin.Fleet. Only the daemon that sends the orders has the moves.
 func (r runners) Moves(ctx context.Context) ([]service.MoveStatus, error) {
 	holder, ok := r.d.peers.Holder()
 	if !ok {
 		return nil, eris.Wrap(core.ErrUnavailable, "no daemon holds the lease of orders")
 	}
 	if holder.Name != r.d.set.Name {
-		return nil, eris.Wrap(core.ErrUnavailable, fmt.Sprintf("daemon %s sends the orders: ask it", holder.Name))
+		return nil, eris.Wrap(core.ErrUnavailable, fmt.Sprintf("only daemon %s, which sends the orders, can list the moves", holder.Name))
 	}
 	moves, err := r.d.holder.Moves(ctx)
 	if err != nil {
--- a/services/fleet/copy.go
+++ b/services/fleet/copy.go
@@ -19,24 +19,25 @@
 )
 
 const (
-	// pathCopy is where a daemon hands out its copy of a kind of the store's
-	// objects.
-	pathCopy = "/copies/"
-	// queryAfter is the version up to which the asking daemon knows all.
+	// pathSnapshot is the path under which a daemon serves its snapshot of a kind of the
+	// store's objects.
+	pathSnapshot = "/copies/"
+	// queryAfter is the query parameter with the version up to which the requesting daemon
+	// has all changes.
 	queryAfter = "after"
-	// What differs each time that the same copy is asked for.
-	headerHealthy = "Copy-Healthy" // since the store last failed for the daemon that answers
-	headerStale   = "Copy-Stale"   // whether it fails for it now
-	// copyLimit is for whole copies of 70 KB to twenty daemons at the same time over
-	// a link of 10 Mbit/s.
-	copyLimit = 1500 * time.Millisecond
-	maxCopy   = 64 << 20
+	// The values that differ between requests for the same snapshot are sent as headers.
+	headerHealthy = "Copy-Healthy" // time since a store call of the sending daemon last failed
+	headerStale   = "Copy-Stale"   // whether its calls to the store fail now
+	// snapshotTimeout allows for full snapshots of 70 KB to twenty daemons at the same time
+	// over a link of 10 Mbit/s.
+	snapshotTimeout = 1500 * time.Millisecond
+	maxSnapshot     = 64 << 20
 )
 
-// copyHandler answers daemons that do not reach the store.
-func (d *Daemon) copyHandler() http.Handler {
+// snapshotHandler serves snapshots to daemons that do not read the store themselves.
+func (d *Daemon) snapshotHandler() http.Handler {
 	mux := http.NewServeMux()
-	mux.HandleFunc("GET "+pathCopy+"{kind}", func(w http.ResponseWriter, r *http.Request) {
+	mux.HandleFunc("GET "+pathSnapshot+"{kind}", func(w http.ResponseWriter, r *http.Request) {
 		after := uint64(0)
 		if text := r.URL.Query().Get(queryAfter); text != "" {
 			var err error
@@ -45,18 +46,18 @@
 				return
 			}
 		}
-		c, err := d.watcher.Copy(r.PathValue("kind"), after)
+		s, err := d.watcher.Copy(r.PathValue("kind"), after)
 		if err != nil {
 			http.Error(w, err.Error(), http.StatusServiceUnavailable)
 			return
 		}
-		data, err := d.packed.get(r.PathValue("kind"), c.After, c)
+		data, err := d.snapshots.get(r.PathValue("kind"), s.After, s)
 		if err != nil {
 			http.Error(w, err.Error(), http.StatusInternalServerError)
 			return
 		}
-		w.Header().Set(headerHealthy, c.Healthy.String())
-		w.Header().Set(headerStale, strconv.FormatBool(c.Stale))
+		w.Header().Set(headerHealthy, s.Healthy.String())
+		w.Header().Set(headerStale, strconv.FormatBool(s.Stale))
 		if _, err := w.Write(data); err != nil {
 			d.log.Info(logs.CopyNotSent, logs.Err(err))
 		}
@@ -64,26 +65,26 @@
 	return mux
 }
 
-// neighbour gets the copy of a named daemon, or of any; it implements
-// watch.Neighbour.
-func (d *Daemon) neighbour(ctx context.Context, kind, name string, after uint64) (watch.Copy, error) {
+// fetchSnapshot returns the snapshot of the named daemon, or of any daemon if the name is
+// empty. It implements watch.Fetch.
+func (d *Daemon) fetchSnapshot(ctx context.Context, kind, name string, after uint64) (watch.Copy, error) {
 	if name != "" {
 		p, ok := d.peers.Get(name)
 		if !ok {
-			return watch.Copy{}, eris.Wrapf(core.ErrUnavailable, "daemon %s is not heard", name)
+			return watch.Copy{}, eris.Wrapf(core.ErrUnavailable, "daemon %s is unreachable", name)
 		}
-		return d.copyOf(ctx, p, kind, after)
+		return d.snapshotOf(ctx, p, kind, after)
 	}
-	p, ok := d.nearest()
+	p, ok := d.selectPeer()
 	if !ok {
 		return watch.Copy{}, eris.Wrap(core.ErrUnavailable, "no other daemon is ready")
 	}
-	return d.copyOf(ctx, p, kind, after)
+	return d.snapshotOf(ctx, p, kind, after)
 }
 
-// nearest draws a ready daemon: one that reaches the store goes before one that
-// does not, then one of the own place before others.
-func (d *Daemon) nearest() (peers.Peer, bool) {
+// selectPeer returns a random one of the best ready daemons: daemons that reach the store
+// are preferred, then daemons of the same data centre.
+func (d *Daemon) selectPeer() (peers.Peer, bool) {
 	var best []peers.Peer
 	rank := func(p peers.Peer) int {
 		r := 0
@@ -110,44 +111,44 @@
 	return best[rand.IntN(len(best))], true
 }
 
-// copyOf asks a daemon for its copy.
-func (d *Daemon) copyOf(ctx context.Context, best peers.Peer, kind string, after uint64) (watch.Copy, error) {
-	ctx, cancel := context.WithTimeout(ctx, copyLimit)
+// snapshotOf requests the snapshot of a daemon.
+func (d *Daemon) snapshotOf(ctx context.Context, p peers.Peer, kind string, after uint64) (watch.Copy, error) {
+	ctx, cancel := context.WithTimeout(ctx, snapshotTimeout)
 	defer cancel()
 	query := url.Values{queryAfter: {strconv.FormatUint(after, 10)}}
-	target := url.URL{Scheme: "http", Host: best.Peer.String(), Path: pathCopy + kind, RawQuery: query.Encode()}
+	target := url.URL{Scheme: "http", Host: p.Peer.String(), Path: pathSnapshot + kind, RawQuery: query.Encode()}
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, target.String(), nil)
 	if err != nil {
-		return watch.Copy{}, eris.Wrap(err, "copy")
+		return watch.Copy{}, eris.Wrap(err, "snapshot")
 	}
-	resp, err := d.calls.Do(req)
+	resp, err := d.client.Do(req)
 	if err != nil {
-		return watch.Copy{}, eris.Wrapf(core.ErrUnavailable, "copy of %s: %v", best.Name, err)
+		return watch.Copy{}, eris.Wrapf(core.ErrUnavailable, "snapshot of %s: %v", p.Name, err)
 	}
 	defer resp.Body.Close()
 	if resp.StatusCode != http.StatusOK {
-		return watch.Copy{}, eris.Wrapf(core.ErrUnavailable, "copy of %s: status %d", best.Name, resp.StatusCode)
+		return watch.Copy{}, eris.Wrapf(core.ErrUnavailable, "snapshot of %s: status %d", p.Name, resp.StatusCode)
 	}
-	c, err := readCopy(resp)
+	s, err := readSnapshot(resp)
 	if err != nil {
-		return watch.Copy{}, eris.Wrapf(core.ErrUnavailable, "copy of %s: %v", best.Name, err)
+		return watch.Copy{}, eris.Wrapf(core.ErrUnavailable, "snapshot of %s: %v", p.Name, err)
 	}
-	d.log.Info(logs.CopyTaken, zap.String("other", best.Name), zap.String("kind", kind), zap.Uint64("version", c.Version), zap.Uint64("after", c.After), zap.Int("objects", len(c.Objects)))
-	return c, nil
+	d.log.Info(logs.CopyTaken, zap.String("other", p.Name), zap.String("kind", kind), zap.Uint64("version", s.Version), zap.Uint64("after", s.After), zap.Int("objects", len(s.Objects)))
+	return s, nil
 }
 
-func readCopy(resp *http.Response) (watch.Copy, error) {
-	data, err := io.ReadAll(io.LimitReader(resp.Body, maxCopy))
+func readSnapshot(resp *http.Response) (watch.Copy, error) {
+	data, err := io.ReadAll(io.LimitReader(resp.Body, maxSnapshot))
 	if err != nil {
 		return watch.Copy{}, err
 	}
-	c, err := unpack(data)
+	s, err := decodeSnapshot(data)
 	if err != nil {
 		return watch.Copy{}, err
 	}
-	if c.Healthy, err = time.ParseDuration(resp.Header.Get(headerHealthy)); err != nil {
+	if s.Healthy, err = time.ParseDuration(resp.Header.Get(headerHealthy)); err != nil {
 		return watch.Copy{}, err
 	}
-	c.Stale, err = strconv.ParseBool(resp.Header.Get(headerStale))
-	return c, err
+	s.Stale, err = strconv.ParseBool(resp.Header.Get(headerStale))
+	return s, err
 }
--- a/services/fleet/duties.go
+++ b/services/fleet/duties.go
@@ -9,114 +9,120 @@
 	"primroseward/platform"
 )
 
-// precedes says whether another daemon comes before this one where a few of all do
-// something. All daemons agree on the order: those that may use more of a processor come
-// first, as the duties are to watch the store and to plan for all runners; the others
-// go by a hash, as names that sort together are of one place.
-func (d *Daemon) precedes(p peers.Acquaintance) bool {
+// ranksBefore reports whether another daemon ranks before this one for duties that only a
+// few daemons have. All daemons compute the same ranking. Daemons that may use more
+// of a processor rank first, because the duties are to watch the store and to plan for all
+// runners. Ties are broken by a hash of the name, because names that sort next to each other
+// belong to the same data centre.
+func (d *Daemon) ranksBefore(p peers.Acquaintance) bool {
 	if p.Cores != d.set.Limits.Cores {
 		return p.Cores > d.set.Limits.Cores
 	}
 	return xxhash.Sum64String(p.Name) < xxhash.Sum64String(d.set.Name)
 }
 
-// watches says whether this daemon is one of the few that watch the store. All
-// daemons that hear each other agree on them; one that hears nobody watches. Those
-// for which the store fails are passed over; but where it fails here as well, the
-// first of all keep trying and the others wait for their word: all at once made two
-// thirds of the calls of a day with an outage, each of which is counted.
-func (d *Daemon) watches() bool {
+// shouldWatch reports whether this daemon is one of the few that watch the store. All
+// daemons that reach each other select the same ones; a daemon that reaches no other watches.
+// Daemons for which the store fails are skipped. If it fails for this daemon too, the
+// highest-ranking daemons keep trying and the others wait for their updates: with all daemons
+// trying at once, these attempts were two thirds of the calls of a day with an outage, and
+// each call is counted.
+func (d *Daemon) shouldWatch() bool {
 	failing := d.watcher.Failing()
-	large, most := d.peers.Large(), watchers
+	large, limit := d.peers.Large(), maxWatchers
 	if large {
-		most = placeWatchers
+		limit = maxDataCentreWatchers
 	}
 	since := d.clock.Since(d.started)
-	starting := since < d.patience()
-	if !d.peers.Found() && since < findPatience {
-		return false // others may be there
+	starting := since < d.startWait()
+	if !d.peers.Found() && since < discoveryWait {
+		return false // there may be other daemons that are not discovered yet
 	}
 	before := 0
 	for _, p := range d.peers.Known() {
-		if large && p.Place != d.set.Place || !d.precedes(p) {
+		if large && p.Place != d.set.Place || !d.ranksBefore(p) {
 			continue
 		}
-		if able(p, failing) || starting && !p.Alive {
+		if canReadStore(p, failing) || starting && !p.Alive {
 			before++
 		}
 	}
-	return before < most
+	return before < limit
 }
 
-// able says whether another daemon can read the store for others; with failing one for
-// which the store fails can as well as any.
-func able(p peers.Acquaintance, failing bool) bool {
+// canReadStore reports whether another daemon can read the store on behalf of others. If
+// failing is set, daemons for which the store fails are included.
+func canReadStore(p peers.Acquaintance, failing bool) bool {
 	return p.Alive && p.Ready && !p.Leaving && (failing || !p.Failing)
 }
 
-// first says whether this daemon should read the store itself, so long after its
-// start: at once where no daemon is known that would rather do so. Those that the
-// store lists and that are silent yet count, as all may start together.
-func (d *Daemon) first(since time.Duration) bool {
-	if _, ok := d.nearest(); ok {
-		return since > copyPatience
+// shouldReadStore reports whether this daemon should read the store itself, given the time
+// since its start. It should at once if it is one of the startReaders highest-ranking daemons
+// that are known. Daemons that the store lists but that have not sent anything yet are
+// included in the ranking, as all daemons may start at the same time.
+func (d *Daemon) shouldReadStore(since time.Duration) bool {
+	if _, ok := d.selectPeer(); ok {
+		return since > snapshotWait
 	}
 	if !d.peers.Found() {
-		return since > findPatience
+		return since > discoveryWait
 	}
-	if since > d.patience() {
+	if since > d.startWait() {
 		return true
 	}
 	large, before := d.peers.Large(), 0
 	for _, p := range d.peers.Known() {
-		if (!large || p.Place == d.set.Place) && d.precedes(p) {
+		if (!large || p.Place == d.set.Place) && d.ranksBefore(p) {
 			before++
 		}
 	}
 	return before < startReaders
 }
 
-// readsHolds says whether this daemon is the one that reads the store's records of
-// requests that are held back: the first of all that can. Those that the store lists may
-// start together with this one.
-func (d *Daemon) readsHolds() bool {
-	if d.clock.Since(d.started) < d.patience() || !d.Ready() {
+// shouldReadHolds reports whether this daemon is the one that reads the store's records of
+// requests on hold: the highest-ranking daemon that can. It waits for the start wait first,
+// as the daemons that the store lists may be starting at the same time.
+func (d *Daemon) shouldReadHolds() bool {
+	if d.clock.Since(d.started) < d.startWait() || !d.Ready() {
 		return false
 	}
 	for _, p := range d.peers.Known() {
-		if able(p, false) && d.precedes(p) {
+		if canReadStore(p, false) && d.ranksBefore(p) {
 			return false
 		}
 	}
 	return true
 }
 
-// patience is how long this daemon leaves the store to others when it starts.
-func (d *Daemon) patience() time.Duration {
+// startWait returns how long after its start this daemon leaves reading the store to others.
+func (d *Daemon) startWait() time.Duration {
 	if d.peers.Large() {
-		return largePatience
+		return largeStartWait
 	}
-	return startPatience
+	return smallStartWait
 }
 
-// pause is how long this daemon waits between two copies of the runners.
-func (d *Daemon) pause() time.Duration {
+// followPause returns how long this daemon waits between two snapshots of the runners while
+// it does not watch the store.
+func (d *Daemon) followPause() time.Duration {
 	if d.peers.Large() {
-		return largePause
+		return largeFollowPause
 	}
-	return smallPause
+	return smallFollowPause
 }
 
-// changed tells the others of a change at once. In a large fleet each place has a
-// daemon that watches the runners for it.
-func (d *Daemon) changed(kind string) {
+// storeChanged announces a change in the store to the other daemons at once. In a large fleet
+// a change of runners is announced only within the data centre, as each data centre has a
+// daemon that watches the runners.
+func (d *Daemon) storeChanged(kind string) {
 	d.peers.Nudge(kind != platform.KindRunners || !d.peers.Large())
 }
 
-// foundDown tells the others at once that a runner refuses connections. In a large fleet
-// the next beats tell: each of 85 daemons would find each of 15 crashed runners out in
-// the same moment, and send all others a hundred thousand datagrams.
-func (d *Daemon) foundDown() {
+// runnerDown announces to the other daemons at once that a runner refuses connections. In a
+// large fleet this is left to the next heartbeats: each of 85 daemons would detect each of 15
+// crashed runners at the same moment, and together they would send a hundred thousand
+// datagrams.
+func (d *Daemon) runnerDown() {
 	if !d.peers.Large() {
 		d.peers.Nudge(true)
 	}
--- a/services/fleet/limits.go
+++ b/services/fleet/limits.go
@@ -12,35 +12,39 @@
 	"primroseward/io/logs"
 )
 
-// kindLimit is the kind of messages on the limits that runners name.
+// kindLimit is the kind of the messages about limits that runners declare in their answers.
 const kindLimit = "limit"
 
-// tellLimit tells all daemons of a runner's limit.
-func (d *Daemon) tellLimit(w allowance.Word) { d.peers.TellAll(kindLimit, w) }
+// broadcastLimit sends a runner's limit to all daemons.
+func (d *Daemon) broadcastLimit(u allowance.Word) { d.peers.TellAll(kindLimit, u) }
 
+// handleLimit applies the limit of a runner that another daemon has broadcast.
 func (d *Daemon) handleLimit(from peers.Peer, body json.RawMessage, _ func(any)) {
-	var w allowance.Word
-	if err := json.Unmarshal(body, &w); err != nil {
+	var u allowance.Word
+	if err := json.Unmarshal(body, &u); err != nil {
 		d.log.Warn(logs.MessageUnreadable, zap.String("other", from.Name), logs.Err(err))
 		return
 	}
-	d.limits.Told(from.Name, w)
+	d.limits.Told(from.Name, u)
 }
 
-// usage is what this daemon uses of the rates that it shares with the others.
-func (d *Daemon) usage() map[core.Code]core.Usage {
+// localUsage returns how much this daemon uses of the allowances and limits that all daemons
+// share.
+func (d *Daemon) localUsage() map[core.Code]core.Usage {
 	out := d.allowances.Usage()
 	maps.Copy(out, d.limits.Usage())
 	return out
 }
 
-// heardUsage takes in what the others use of them.
-func (d *Daemon) heardUsage(heard, known int, others map[core.Code]core.Usage) {
-	d.allowances.Heard(heard, known, others)
-	d.limits.Heard(heard, known, others)
+// peerUsage applies how much the other daemons use of them. reachable is the
+// number of daemons that are reachable, including this one, and known the number that there
+// may be, or 0 while that is not known.
+func (d *Daemon) peerUsage(reachable, known int, others map[core.Code]core.Usage) {
+	d.allowances.Heard(reachable, known, others)
+	d.limits.Heard(reachable, known, others)
 }
 
-// isLimited says whether a runner names a limit.
+// isLimited reports whether a runner declares a limit.
 func (d *Daemon) isLimited(runner string) bool {
 	_, ok := d.limits.Limit(runner)
 	return ok
--- a/services/fleet/packed.go
+++ b/services/fleet/packed.go
@@ -9,34 +9,36 @@
 	"primroseward/coordination/watch"
 )
 
-// maxPacked is how many copies are kept packed: those of a few kinds, from the few
-// versions that the daemons of a place have.
-const maxPacked = 16
+// maxCachedSnapshots bounds the number of encoded snapshots that are kept. There are only a
+// few kinds, and the daemons of a data centre have only a few different versions.
+const maxCachedSnapshots = 16
 
-// packedKey names a copy.
-type packedKey struct {
+// snapshotKey identifies a snapshot: the version that it was taken at and the version after
+// which it lists the changes.
+type snapshotKey struct {
 	kind           string
 	after, version uint64
 }
 
-// packed keeps copies as they go over the wire, compressed. A configuration of 1,200
-// routes is 250 KB and a tenth of that compressed; the 17 daemons of a place that ask
-// for it at the same time filled the link of 10 Mbit/s of the one that has it for
-// seconds, and its callers' streams and their ends stood behind it.
-type packed struct {
+// snapshotCache keeps snapshots in the compressed form in which they are sent. A
+// configuration of 1,200 routes is 250 KB, and a tenth of that when compressed. Without
+// compression, the 17 daemons of a data centre that requested it at the same time saturated
+// the 10 Mbit/s link of the sending daemon for seconds, which delayed the streams of its
+// callers and the ends of these streams.
+type snapshotCache struct {
 	mu   sync.Mutex
-	data map[packedKey][]byte
+	data map[snapshotKey][]byte
 }
 
-// get returns a copy as it goes over the wire; daemons that ask for the same one at the
-// same time wait for one compression.
-func (p *packed) get(kind string, after uint64, c watch.Copy) ([]byte, error) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	key := packedKey{kind, after, c.Version}
-	// The age of a copy differs from asking to asking, and is told beside it.
-	c.Healthy, c.Stale = 0, false
-	if data, ok := p.data[key]; ok {
+// get returns the encoded form of a snapshot. Daemons that request the same snapshot at the
+// same time wait for a single compression.
+func (c *snapshotCache) get(kind string, after uint64, s watch.Copy) ([]byte, error) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	key := snapshotKey{kind, after, s.Version}
+	// These values differ from request to request, and are sent as headers.
+	s.Healthy, s.Stale = 0, false
+	if data, ok := c.data[key]; ok {
 		return data, nil
 	}
 	var out bytes.Buffer
@@ -44,25 +46,25 @@
 	if err != nil {
 		return nil, err
 	}
-	if err := json.NewEncoder(zip).Encode(c); err != nil {
+	if err := json.NewEncoder(zip).Encode(s); err != nil {
 		return nil, err
 	}
 	if err := zip.Close(); err != nil {
 		return nil, err
 	}
-	if len(p.data) >= maxPacked || p.data == nil {
-		p.data = map[packedKey][]byte{}
+	if len(c.data) >= maxCachedSnapshots || c.data == nil {
+		c.data = map[snapshotKey][]byte{}
 	}
-	p.data[key] = out.Bytes()
+	c.data[key] = out.Bytes()
 	return out.Bytes(), nil
 }
 
-// unpack reads a copy that get has made.
-func unpack(data []byte) (watch.Copy, error) {
-	var c watch.Copy
+// decodeSnapshot decodes a snapshot that get has encoded.
+func decodeSnapshot(data []byte) (watch.Copy, error) {
+	var s watch.Copy
 	zip, err := gzip.NewReader(bytes.NewReader(data))
 	if err != nil {
-		return c, err
+		return s, err
 	}
-	return c, json.NewDecoder(zip).Decode(&c)
+	return s, json.NewDecoder(zip).Decode(&s)
 }
--- a/services/fleet/packed_test.go
+++ b/services/fleet/packed_test.go
@@ -13,7 +13,7 @@
 	"primroseward/platform"
 )
 
-// bigConfig is a configuration of many routes, as it lies in the store.
+// bigConfig returns a configuration with many routes, in the form in which the store keeps it.
 func bigConfig(t testing.TB, routes int) core.Object {
 	t.Helper()
 	m := platform.ConfigMessage{Version: 7}
@@ -28,42 +28,42 @@
 	return core.Object{Kind: platform.KindConfig, Name: platform.NameConfig, Version: 9, Body: body}
 }
 
-// Callers' streams stand still for seconds, and runners go on with requests whose
-// callers have left: the daemons of a place all fetch a configuration of 1,200 routes
-// from one of them over its small link. It goes over the wire compressed, and is
-// compressed once.
+// The daemons of a data centre all fetch a configuration of 1,200 routes from one of them.
+// Uncompressed, it saturates the small link of the sending daemon: the streams of its callers
+// stall for seconds, and runners continue with requests whose callers have disconnected. The
+// snapshot must be sent compressed, and must be compressed only once.
 func TestCopiesAreCompressedOnce(t *testing.T) {
-	c := watch.Copy{Version: 9, Change: 9, Objects: []core.Object{bigConfig(t, 1200)}}
-	whole, err := json.Marshal(c)
+	s := watch.Copy{Version: 9, Change: 9, Objects: []core.Object{bigConfig(t, 1200)}}
+	plain, err := json.Marshal(s)
 	assert.NilError(t, err)
-	p := &packed{}
-	first, err := p.get(platform.KindConfig, 3, c)
+	c := &snapshotCache{}
+	first, err := c.get(platform.KindConfig, 3, s)
 	assert.NilError(t, err)
-	assert.Assert(t, len(first)*8 < len(whole), "%d of %d bytes", len(first), len(whole))
-	c.Healthy = time.Minute
-	again, err := p.get(platform.KindConfig, 3, c)
+	assert.Assert(t, len(first)*8 < len(plain), "%d of %d bytes", len(first), len(plain))
+	s.Healthy = time.Minute
+	again, err := c.get(platform.KindConfig, 3, s)
 	assert.NilError(t, err)
 	assert.Assert(t, &first[0] == &again[0], "compressed again")
-	got, err := unpack(again)
+	got, err := decodeSnapshot(again)
 	assert.NilError(t, err)
-	assert.Equal(t, got.Version, c.Version)
-	assert.Equal(t, string(got.Objects[0].Body), string(c.Objects[0].Body))
-	c.Version = 10
-	next, err := p.get(platform.KindConfig, 3, c)
+	assert.Equal(t, got.Version, s.Version)
+	assert.Equal(t, string(got.Objects[0].Body), string(s.Objects[0].Body))
+	s.Version = 10
+	next, err := c.get(platform.KindConfig, 3, s)
 	assert.NilError(t, err)
-	assert.Assert(t, &next[0] != &first[0], "an older version")
-	for i := range 3 * maxPacked {
-		_, err := p.get("other", uint64(i), watch.Copy{Version: 1})
+	assert.Assert(t, &next[0] != &first[0], "an older version was returned")
+	for i := range 3 * maxCachedSnapshots {
+		_, err := c.get("other", uint64(i), watch.Copy{Version: 1})
 		assert.NilError(t, err)
 	}
-	assert.Assert(t, len(p.data) <= maxPacked)
+	assert.Assert(t, len(c.data) <= maxCachedSnapshots)
 }
 
-func BenchmarkPack(b *testing.B) {
-	c := watch.Copy{Version: 9, Objects: []core.Object{bigConfig(b, 1200)}}
+func BenchmarkSnapshotEncoding(b *testing.B) {
+	s := watch.Copy{Version: 9, Objects: []core.Object{bigConfig(b, 1200)}}
 	b.ReportAllocs()
 	for b.Loop() {
-		if _, err := (&packed{}).get(platform.KindConfig, 3, c); err != nil {
+		if _, err := (&snapshotCache{}).get(platform.KindConfig, 3, s); err != nil {
 			b.Fatal(err)
 		}
 	}
--- a/transport/front/directory.go
+++ b/transport/front/directory.go
@@ -9,28 +9,29 @@
 	"primroseward/coordination/peers"
 )
 
-// maxAddresses is how many addresses a caller reads of one answer.
+// maxAddresses is the number of addresses that a caller reads from one answer.
 const maxAddresses = 64
 
-// Directory tells callers which addresses to use.
+// Directory answers callers' requests for the addresses of daemons.
 type Directory struct {
 	Peers *peers.Peers
 	Ready func() bool
-	// Reply writes an answer in the form that callers read.
+	// Reply returns the body of an answer, to be encoded as JSON.
 	Reply func(addrs []netip.AddrPort) any
-	// Place reads a caller's place from its question.
-	Place func(r *http.Request) string
+	// DataCentre returns the data centre of a caller from its request.
+	DataCentre func(r *http.Request) string
 }
 
-// ServeHTTP answers with the daemons that are alive, ready and not leaving.
+// ServeHTTP answers with the addresses of the daemons that are alive, ready and not leaving:
+// first those of the caller's data centre, then the others, each in random order.
 func (d *Directory) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	var near, far []netip.AddrPort
-	place := d.Place(r)
+	dataCentre := d.DataCentre(r)
 	for _, p := range d.Peers.Alive() {
 		if p.Leaving || !p.Ready {
 			continue
 		}
-		if p.Place == place {
+		if p.Place == dataCentre {
 			near = append(near, p.Caller)
 		} else {
 			far = append(far, p.Caller)
@@ -44,14 +45,14 @@
 		return
 	}
 	w.Header().Set("Content-Type", "application/json")
-	_ = json.NewEncoder(w).Encode(d.Reply(addrs[:min(len(addrs), maxAddresses)])) // a caller that has gone reads nothing
+	_ = json.NewEncoder(w).Encode(d.Reply(addrs[:min(len(addrs), maxAddresses)])) // an error means that the caller has disconnected
 }
 
 func shuffle(a []netip.AddrPort) {
 	rand.Shuffle(len(a), func(i, k int) { a[i], a[k] = a[k], a[i] })
 }
 
-// ServeReady answers the platform's question whether the daemon is ready.
+// ServeReady answers the platform's readiness check.
 func (d *Directory) ServeReady(w http.ResponseWriter, _ *http.Request) {
 	if d.Ready() {
 		w.WriteHeader(http.StatusOK)
--- a/transport/front/front.go
+++ b/transport/front/front.go
@@ -1,5 +1,5 @@
-// Package front answers callers over HTTP/1.1, and tells them which addresses
-// to use.
+// Package front serves callers over HTTP/1.1, and answers their requests for the
+// addresses of daemons.
 package front
 
 import (
@@ -26,27 +26,26 @@
 )
 
 const (
-	// headerTimeout and idleTimeout bound connections before a configuration
-	// is known, and are the least that is allowed afterwards: a caller that
-	// stays within the configuration's limits is never cut by ours.
+	// headerTimeout and idleTimeout bound connections before a configuration is known, and
+	// are the minimum afterwards: they never disconnect a caller that stays within the
+	// configuration's limits.
 	headerTimeout = 10 * time.Second
 	idleTimeout   = 60 * time.Second
-	// headerBytes is what a request's headers may take before a configuration
-	// says less.
+	// headerBytes is the maximum size of a request's headers; a configuration may set a
+	// lower one.
 	headerBytes = 64 << 10
 	copyBuffer  = 16 << 10
-	// tracer names the spans of requests.
+	// tracer is the name of the tracer of the spans of requests.
 	tracer = "primroseward"
-	// noConfigRetry is when a caller may come back to a daemon that knows no
-	// configuration yet; it reads one within milliseconds of reaching the
-	// store.
+	// noConfigRetry is the Retry-After time that a daemon without a configuration sends. The
+	// daemon reads one within milliseconds of reaching the store.
 	noConfigRetry = 300 * time.Millisecond
-	// unconfirmedRetry is when a caller may come back whose key could not be confirmed:
-	// outages of the store last some seconds.
+	// unconfirmedRetry is the Retry-After time for a caller whose key could not be confirmed.
+	// Outages of the store last some seconds.
 	unconfirmedRetry = 2 * time.Second
-	// leastRetry is the least time to come back that a caller is told: Retry-After has
-	// three decimals, and one that rounds to 0 says that nothing is known.
-	leastRetry = time.Millisecond
+	// minRetry is the minimum Retry-After time. The header has three decimals, and a value
+	// that rounds to 0 means that the time is not known.
+	minRetry = time.Millisecond
 )
 
 // Dispatcher serves requests.
@@ -54,43 +53,43 @@
 	Do(ctx context.Context, route *core.Route, q *core.Request) (*core.Reply, error)
 }
 
-// Front serves callers.
+// Front is the HTTP handler for callers.
 type Front struct {
-	catalog *catalog.Catalog
-	dialect core.Dialect
-	to      Dispatcher
-	clock   core.Clock
-	log     *zap.Logger
-	scope   tally.Scope
-	known   func() bool // whether the operators' settings are
-	trusted func() bool // whether keys that are known may be used
-	leaving atomic.Bool
+	catalog       *catalog.Catalog
+	dialect       core.Dialect
+	dispatcher    Dispatcher
+	clock         core.Clock
+	log           *zap.Logger
+	scope         tally.Scope
+	settingsKnown func() bool // whether the operators' settings are known
+	keysConfirmed func() bool // whether the known keys may be used
+	leaving       atomic.Bool
 }
 
-// Option changes a Front.
+// Option configures a Front.
 type Option func(*Front)
 
-// WithScope counts the front's own refusals in a scope.
+// WithScope sets the scope in which the refusals by the front itself are counted.
 func WithScope(s tally.Scope) Option { return func(f *Front) { f.scope = s } }
 
-// WithKnown sets what tells whether the operators' settings are known. Before,
-// a request might be served where they forbid it.
-func WithKnown(fn func() bool) Option { return func(f *Front) { f.known = fn } }
+// WithSettingsKnown sets the function that reports whether the operators' settings are known.
+// Until they are, requests are refused, as they might be served where the settings forbid it.
+func WithSettingsKnown(fn func() bool) Option { return func(f *Front) { f.settingsKnown = fn } }
 
-// WithTrusted sets what tells whether keys that are known may be used: one may have been
-// taken away while the store was out of reach.
-func WithTrusted(fn func() bool) Option { return func(f *Front) { f.trusted = fn } }
+// WithKeysConfirmed sets the function that reports whether the known keys may be used. A key
+// may have been removed while the store was unreachable.
+func WithKeysConfirmed(fn func() bool) Option { return func(f *Front) { f.keysConfirmed = fn } }
 
-// New makes a Front.
-func New(c *catalog.Catalog, dialect core.Dialect, to Dispatcher, clock core.Clock, log *zap.Logger, opts ...Option) *Front {
-	f := &Front{catalog: c, dialect: dialect, to: to, clock: clock, log: log, scope: tally.NoopScope, known: func() bool { return true }, trusted: func() bool { return true }}
+// New returns a Front that passes requests to a dispatcher.
+func New(c *catalog.Catalog, dialect core.Dialect, dispatcher Dispatcher, clock core.Clock, log *zap.Logger, opts ...Option) *Front {
+	f := &Front{catalog: c, dialect: dialect, dispatcher: dispatcher, clock: clock, log: log, scope: tally.NoopScope, settingsKnown: func() bool { return true }, keysConfirmed: func() bool { return true }}
 	for _, o := range opts {
 		o(f)
 	}
 	return f
 }
 
-// Leave makes every answer ask its caller to close the connection.
+// Leave makes the Front set "Connection: close" on all further answers.
 func (f *Front) Leave() { f.leaving.Store(true) }
 
 // Server returns the HTTP server for callers.
@@ -120,22 +119,23 @@
 	ctx, span := otel.Tracer(tracer).Start(ctx, "request", trace.WithSpanKind(trace.SpanKindServer),
 		trace.WithAttributes(attribute.String("request", q.ID), attribute.String("route", route.Name)))
 	defer span.End()
-	reply, err := f.to.Do(ctx, route, q)
+	reply, err := f.dispatcher.Do(ctx, route, q)
 	if err != nil {
 		writeError(w, core.AsRequestError(err))
 		return
 	}
 	defer reply.Body.Close()
-	f.pass(w, reply)
+	f.writeReply(w, reply)
 }
 
-// read reads a request and finds its route. What it refuses no runner has seen.
+// read reads a request and finds its route. A request that it refuses has not been sent to
+// any runner.
 func (f *Front) read(w http.ResponseWriter, r *http.Request) (*core.Request, *core.Route, *core.RequestError) {
 	config := f.catalog.Config()
 	if config == nil {
 		return nil, nil, core.NotRun(http.StatusServiceUnavailable, "no_config", "no configuration is known yet", noConfigRetry)
 	}
-	if !f.known() {
+	if !f.settingsKnown() {
 		return nil, nil, core.NotRun(http.StatusServiceUnavailable, "no_settings", "no settings are known yet", noConfigRetry)
 	}
 	route := config.Route(hostOf(r.Host), r.URL.Path)
@@ -165,8 +165,8 @@
 	return q, route, nil
 }
 
-// authorize finds the workspace of a caller's key, before anything of the body is read.
-// Routes without keys have none.
+// authorize returns the workspace of the caller's key, before any of the body is read. The
+// workspace is nil for routes that need no key.
 func (f *Front) authorize(config *core.Config, route *core.Route, r *http.Request) (core.KeyID, *core.Workspace, *core.RequestError) {
 	if !config.NeedsKey(route) {
 		return core.KeyID{}, nil, nil
@@ -179,13 +179,13 @@
 	if w == nil {
 		return key, nil, core.NotRun(http.StatusUnauthorized, "unknown_key", "no workspace holds key "+key.String(), 0)
 	}
-	if !f.trusted() {
+	if !f.keysConfirmed() {
 		return key, nil, core.NotRun(http.StatusServiceUnavailable, "keys_unconfirmed", "the configuration could not be confirmed in time", unconfirmedRetry)
 	}
 	return key, w, nil
 }
 
-// refuse writes a refusal of the front's own, tells of it and counts it.
+// refuse answers with a refusal by the front itself, logs it and counts it.
 func (f *Front) refuse(w http.ResponseWriter, r *http.Request, e *core.RequestError) {
 	version := uint64(0)
 	if config := f.catalog.Config(); config != nil {
@@ -195,12 +195,12 @@
 		zap.String("host", r.Host), zap.String("path", r.URL.Path), zap.Uint64("config", version), zap.String("reason", e.Message))
 	f.scope.Tagged(map[string]string{"code": e.Code}).Counter("refusals").Inc(1)
 	if e.Status == http.StatusUnauthorized && r.ContentLength != 0 {
-		w.Header().Set("Connection", "close") // the server would wait for the body otherwise
+		w.Header().Set("Connection", "close") // otherwise the server would wait for the body
 	}
 	writeError(w, e)
 }
 
-// hostOf is a Host header without its port.
+// hostOf returns the value of a Host header without the port.
 func hostOf(v string) string {
 	if host, _, err := net.SplitHostPort(v); err == nil {
 		return host
@@ -208,7 +208,7 @@
 	return v
 }
 
-// headerSize is the size of a request's line and headers on the wire.
+// headerSize returns the size of the request line and the headers on the wire.
 func headerSize(r *http.Request) int {
 	n := len(r.Method) + len(r.RequestURI) + len(r.Host)
 	for name, values := range r.Header {
@@ -234,12 +234,13 @@
 	return data, nil
 }
 
-// hopHeaders of an answer concern the runner's connection only.
+// hopHeaders are the hop-by-hop headers of an answer, which apply only to the connection with
+// the runner.
 var hopHeaders = []string{"Connection", "Keep-Alive", "Proxy-Connection", "Transfer-Encoding", "Upgrade", "Trailer", "Te"}
 
-// pass passes an answer on as it comes. A body that ends early ends the
-// caller's connection without the mark of a complete answer.
-func (f *Front) pass(w http.ResponseWriter, reply *core.Reply) {
+// writeReply copies an answer to the caller as it arrives. If the body ends early, the
+// connection with the caller is aborted, so that the answer does not look complete.
+func (f *Front) writeReply(w http.ResponseWriter, reply *core.Reply) {
 	header := w.Header()
 	for name, values := range reply.Header {
 		header[name] = values
@@ -272,12 +273,12 @@
 	}
 }
 
-// writeError writes an error of the system's own.
+// writeError answers with an error that the system itself has generated.
 func writeError(w http.ResponseWriter, e *core.RequestError) {
 	header := w.Header()
 	header.Set("Content-Type", "application/json")
 	if e.Retry > 0 {
-		header.Set("Retry-After", strconv.FormatFloat(max(e.Retry, leastRetry).Seconds(), 'f', 3, 64))
+		header.Set("Retry-After", strconv.FormatFloat(max(e.Retry, minRetry).Seconds(), 'f', 3, 64))
 	}
 	w.WriteHeader(e.Status)
 	body := struct {
@@ -285,5 +286,5 @@
 		Text    string `json:"text"`
 		Outcome string `json:"outcome"`
 	}{e.Code, e.Message, string(e.Outcome)}
-	_ = json.NewEncoder(w).Encode(body) // a caller that has gone reads nothing
+	_ = json.NewEncoder(w).Encode(body) // an error means that the caller has disconnected
 }
--- a/transport/front/front_test.go
+++ b/transport/front/front_test.go
@@ -26,7 +26,7 @@
 	"primroseward/state/catalog"
 )
 
-// dispatcher answers as a test tells it to.
+// dispatcher answers with the result of a function that the test sets.
 type dispatcher struct {
 	got    *core.Request
 	answer func(ctx context.Context) (*core.Reply, error)
@@ -42,10 +42,10 @@
 	return &core.Reply{Status: status, Header: h, Body: io.NopCloser(body)}, nil
 }
 
-// lines are the log lines of the front that setUp made last.
+// lines are the log lines of the last Front that setUp has created.
 var lines *observer.ObservedLogs
 
-// setUp serves one route; without a config if version is 0.
+// setUp starts a server with one route, or without a configuration if version is 0.
 func setUp(t *testing.T, version uint64, d *dispatcher) (*Front, *httptest.Server) {
 	t.Helper()
 	clock := clockwork.NewRealClock()
@@ -68,7 +68,7 @@
 	return f, srv
 }
 
-// send writes a request as it is and reads the answer.
+// send writes the raw text of a request and reads the answer.
 func send(t *testing.T, srv *httptest.Server, text string) (*http.Response, string, error) {
 	t.Helper()
 	c, err := net.Dial("tcp", srv.Listener.Addr().String())
@@ -88,9 +88,9 @@
 	return fmt.Sprintf("POST %s HTTP/1.1\nHost: h.example\nX-Primroseward-Request-Id: q1\nContent-Length: %d\n\n%s", path, len(body), body)
 }
 
-// A daemon that has just started answers 404 for all routes, and callers give up
-// for good. Without a configuration it can only say that it does not know yet.
-func TestStatusOfOurOwn(t *testing.T) {
+// If a daemon that has no configuration yet answers 404 for all routes, callers give up for
+// good. It must answer 503 with a Retry-After time.
+func TestErrorStatusCodes(t *testing.T) {
 	cases := []struct {
 		name    string
 		version uint64
@@ -98,16 +98,16 @@
 		err     error
 		want    int
 		retry   bool
-		code    string // of the line that tells of it
+		code    string // in the log line of the refusal
 	}{
 		{"no config", 0, post("/a/x", ""), nil, 503, true, "no_config"},
 		{"no route", 1, post("/b/x", ""), nil, 404, false, "no_route"},
 		{"no id", 1, strings.Replace(post("/a/x", ""), "X-Primroseward-Request-Id: q1\n", "", 1), nil, 400, false, "bad_request"},
 		{"body too large", 1, post("/a/x", strings.Repeat("x", 1001)), nil, 413, false, "too_large"},
 		{"headers too large", 1, strings.Replace(post("/a/x", ""), "Host:", "X-Long: "+strings.Repeat("x", 2000)+"\nHost:", 1), nil, 431, false, "headers_too_large"},
-		{"refused", 1, post("/a/x", ""), core.NotRun(503, "full", "", 250e6), 503, true, ""},
+		{"refused by the dispatcher", 1, post("/a/x", ""), core.NotRun(503, "full", "", 250e6), 503, true, ""},
 		{"may have run", 1, post("/a/x", ""), core.MayHaveRun("lost", ""), 502, false, ""},
-		{"other errors promise nothing", 1, post("/a/x", ""), errors.New("odd"), 502, false, ""},
+		{"other error", 1, post("/a/x", ""), errors.New("odd"), 502, false, ""},
 	}
 	for _, one := range cases {
 		d := &dispatcher{answer: func(context.Context) (*core.Reply, error) {
@@ -121,15 +121,15 @@
 		assert.NilError(t, err, one.name)
 		assert.Equal(t, resp.StatusCode, one.want, one.name)
 		assert.Equal(t, resp.Header.Get("Retry-After") != "", one.retry, one.name)
-		told := lines.FilterMessage(logs.RefusedAtFront).All()
-		assert.Equal(t, len(told) > 0, one.code != "", one.name)
+		logged := lines.FilterMessage(logs.RefusedAtFront).All()
+		assert.Equal(t, len(logged) > 0, one.code != "", one.name)
 		if one.code != "" {
-			assert.Equal(t, told[0].ContextMap()["code"], one.code)
+			assert.Equal(t, logged[0].ContextMap()["code"], one.code)
 		}
 	}
 }
 
-func TestBodiesInAnyForm(t *testing.T) {
+func TestChunkedBody(t *testing.T) {
 	d := &dispatcher{answer: func(context.Context) (*core.Reply, error) { return reply(200, strings.NewReader("ok")) }}
 	_, srv := setUp(t, 1, d)
 	chunked := "POST /a/x?y=1 HTTP/1.1\nHost: h.example:80\nX-Primroseward-Request-Id: q1\nTransfer-Encoding: chunked\n\n3\nabc\n2\nde\n0\n\n"
@@ -139,11 +139,11 @@
 	assert.Equal(t, body, "ok")
 	assert.Equal(t, string(d.got.Body), "abcde")
 	assert.Equal(t, d.got.Target, "/a/x?y=1")
-	assert.Equal(t, resp.Header.Get("Keep-Alive"), "", "the runner's connection is not the caller's")
+	assert.Equal(t, resp.Header.Get("Keep-Alive"), "", "hop-by-hop header of the runner's connection")
 	assert.Equal(t, resp.Header.Get("X-Primroseward-Server-Stamp"), "s")
 }
 
-// broken gives some bytes and then an error.
+// broken returns an error in place of the end of a reader.
 type broken struct{ io.Reader }
 
 func (b broken) Read(p []byte) (int, error) {
@@ -154,7 +154,8 @@
 	return n, err
 }
 
-// A caller takes half an answer for the whole.
+// The caller must not take half an answer for a complete one: if the body breaks off, reading
+// the answer must fail.
 func TestBrokenAnswerDoesNotLookComplete(t *testing.T) {
 	d := &dispatcher{answer: func(context.Context) (*core.Reply, error) { return reply(200, broken{strings.NewReader("half")}) }}
 	_, srv := setUp(t, 1, d)
@@ -163,12 +164,13 @@
 	assert.Assert(t, err != nil)
 }
 
-// Runners go on working for callers that have left.
-func TestLeavingCallerEndsTheRequest(t *testing.T) {
-	ended := make(chan struct{})
+// A request must be cancelled when its caller disconnects. Otherwise runners continue to work
+// for callers that are gone.
+func TestDisconnectCancelsRequest(t *testing.T) {
+	cancelled := make(chan struct{})
 	d := &dispatcher{answer: func(ctx context.Context) (*core.Reply, error) {
 		<-ctx.Done()
-		close(ended)
+		close(cancelled)
 		return nil, core.MayHaveRun("gone", "")
 	}}
 	_, srv := setUp(t, 1, d)
@@ -177,10 +179,10 @@
 	_, err = io.WriteString(c, strings.ReplaceAll(post("/a/x", ""), "\n", "\r\n"))
 	assert.NilError(t, err)
 	_ = c.Close()
-	<-ended
+	<-cancelled
 }
 
-func TestLeavingDaemonAsksToClose(t *testing.T) {
+func TestLeavingDaemonClosesConnections(t *testing.T) {
 	d := &dispatcher{answer: func(context.Context) (*core.Reply, error) { return reply(200, strings.NewReader("ok")) }}
 	f, srv := setUp(t, 1, d)
 	for _, leaving := range []bool{false, true} {
@@ -193,20 +195,20 @@
 	}
 }
 
-// A caller is refused with a time to come back that rounds to none, as a request that is
-// held back for less than half a millisecond more: it can't tell that from never.
-func TestTimeToComeBackIsNeverNone(t *testing.T) {
-	for _, left := range []time.Duration{1, 400 * time.Microsecond, time.Millisecond, 2 * time.Second} {
+// A Retry-After time of less than half a millisecond, as for a request whose hold is about to
+// expire, would round to 0, which means that the time is not known.
+func TestRetryAfterIsNeverZero(t *testing.T) {
+	for _, retry := range []time.Duration{1, 400 * time.Microsecond, time.Millisecond, 2 * time.Second} {
 		w := httptest.NewRecorder()
-		writeError(w, core.NotRun(http.StatusServiceUnavailable, "held_back", "held back", left))
+		writeError(w, core.NotRun(http.StatusServiceUnavailable, "held_back", "held back", retry))
 		s, err := strconv.ParseFloat(w.Header().Get("Retry-After"), 64)
 		assert.NilError(t, err)
-		assert.Assert(t, s > 0, "%v", left)
+		assert.Assert(t, s > 0, "%v", retry)
 	}
 }
 
-// The body of an unknown caller is read, or a key reaches a runner; or callers of a route
-// without keys are kept out.
+// The body of a request without a known key must not be read, keys must not be sent to
+// runners or logged, and callers of a route that needs no key must not be refused.
 func TestKeysAtTheFront(t *testing.T) {
 	for _, tt := range []struct {
 		name, path, header string
@@ -232,7 +234,7 @@
 		text := "POST " + tt.path + " HTTP/1.1\nHost: h.example\nX-Primroseward-Request-Id: q1\n" + tt.header + "Content-Length: 3\n\n"
 		if tt.status != 401 {
 			text += "abc"
-		} // the body of a caller without a known key never comes
+		} // the body of a caller without a known key is never sent
 		resp, _, err := send(t, srv, text)
 		assert.NilError(t, err, tt.name)
 		assert.Equal(t, resp.StatusCode, tt.status, tt.name)
@@ -240,7 +242,7 @@
 			assert.Assert(t, d.got == nil, tt.name)
 			assert.Equal(t, lines.FilterMessage(logs.RefusedAtFront).All()[0].ContextMap()["code"], tt.code)
 			for _, l := range lines.All() {
-				assert.Assert(t, !strings.Contains(fmt.Sprint(l.ContextMap()), "bad"), "a key: %v", l.ContextMap())
+				assert.Assert(t, !strings.Contains(fmt.Sprint(l.ContextMap()), "bad"), "the log line contains a key: %v", l.ContextMap())
 			}
 			continue
 		}
@@ -249,8 +251,9 @@
 	}
 }
 
-// An operator's own header reaches a runner no more where callers need no keys.
-func TestAuthorizationGoesOnWithoutWorkspaces(t *testing.T) {
+// Without workspaces callers need no keys, and an Authorization header must be forwarded to the
+// runner: operators may use it for purposes of their own.
+func TestAuthorizationIsForwardedWithoutWorkspaces(t *testing.T) {
 	d := &dispatcher{answer: func(context.Context) (*core.Reply, error) { return reply(200, strings.NewReader("ok")) }}
 	_, srv := setUp(t, 1, d)
 	resp, _, err := send(t, srv, "GET /a/x HTTP/1.1\nHost: h.example\nX-Primroseward-Request-Id: q1\nAuthorization: Basic x\n\n")
@@ -259,8 +262,8 @@
 	assert.Equal(t, d.got.Header.Get("Authorization"), "Basic x")
 }
 
-// Keys that can't be confirmed are used where operators forbid it.
-func TestKeysThatCannotBeConfirmed(t *testing.T) {
+// Keys that cannot be confirmed must not be used where the operators forbid it.
+func TestUnconfirmedKeys(t *testing.T) {
 	d := &dispatcher{answer: func(context.Context) (*core.Reply, error) { return reply(200, strings.NewReader("ok")) }}
 	f, srv := setUp(t, 1, d)
 	config := &core.Config{
@@ -269,11 +272,11 @@
 	}
 	config.Index()
 	f.catalog.SetConfig(config)
-	for _, trusted := range []bool{true, false} {
-		WithTrusted(func() bool { return trusted })(f)
+	for _, confirmed := range []bool{true, false} {
+		WithKeysConfirmed(func() bool { return confirmed })(f)
 		resp, _, err := send(t, srv, "GET /a/x HTTP/1.1\nHost: h.example\nX-Primroseward-Request-Id: q1\nAuthorization: Token good\n\n")
 		assert.NilError(t, err)
-		assert.Equal(t, resp.StatusCode == 200, trusted)
-		assert.Equal(t, resp.Header.Get("Retry-After") != "", !trusted)
+		assert.Equal(t, resp.StatusCode == 200, confirmed)
+		assert.Equal(t, resp.Header.Get("Retry-After") != "", !confirmed)
 	}
 }
