--- a/services/daemon/daemon.go
+++ b/services/daemon/daemon.go
@@ -1,5 +1,5 @@
-// Package daemon puts the parts of primrosed together, starts them and stops
-// them without cutting a request.
+// Package daemon implements the daemon that serves callers through the native interface. It
+// assembles the components, starts them and stops them without interrupting requests.
 package daemon
 
 import (
@@ -42,13 +42,13 @@
 )
 
 const (
-	// spreadLeave is how long after a daemon has announced its leaving others
-	// may still hand out its address.
-	spreadLeave = 2 * time.Second
-	drainCheck  = 100 * time.Millisecond
-	handOver    = 10 * time.Second
-	gaugeEvery  = time.Second
-	adminHeader = 10 * time.Second
+	// leavePropagation is how long after a daemon has announced that it is leaving other
+	// daemons may still hand out its address.
+	leavePropagation   = 2 * time.Second
+	drainPoll          = 100 * time.Millisecond
+	handOverTimeout    = 10 * time.Second
+	gaugeInterval      = time.Second
+	adminHeaderTimeout = 10 * time.Second
 )
 
 // Daemon is one running primrosed.
@@ -59,38 +59,38 @@
 	metrics *observe.Metrics
 	traces  func(context.Context) error
 
-	calls   peer.Count // bytes of calls between daemons
-	pool    *peer.Pool
-	table   *member.Table
-	gossip  *member.Gossip
-	replica *tree.Replica
-	spread  *spread.Spreader
-	network *network
-	guard   *quarantine.Quarantine
-	owner   *owner.Manager
-	claims  *claim.Claims
-	entry   *entry.Entry
-	planner *planner.Role
-	callers *routers.Callers
+	callBytes  peer.ByteCounter // counts the bytes of calls between daemons
+	pool       *peer.Pool
+	table      *member.Table
+	gossip     *member.Gossip
+	replica    *tree.Replica
+	spread     *spread.Spreader
+	network    *network
+	quarantine *quarantine.Quarantine
+	owner      *owner.Manager
+	claims     *claim.Claims
+	entry      *entry.Entry
+	planner    *planner.Role
+	api        *routers.API
 
 	servers []*http.Server
 	wg      sync.WaitGroup
 	leaving atomic.Bool
 
 	stopGauges context.CancelFunc
-	life       time.Duration // of an address given to callers
+	addressTTL time.Duration // how long callers may use an address that they were given
 }
 
-// New opens the listeners and puts the parts together.
+// New opens the listeners and assembles the components.
 func New(set *setting.Setting, log *zap.Logger) (*Daemon, error) {
-	d := &Daemon{set: set, log: log.With(zap.String("member", set.Name)), clock: clockwork.NewRealClock(), life: entry.AddressLife}
+	d := &Daemon{set: set, log: log.With(zap.String("member", set.Name)), clock: clockwork.NewRealClock(), addressTTL: entry.AddressLife}
 	var err error
 	if d.traces, err = observe.StartTraces(set); err != nil {
 		return nil, err
 	}
 	d.metrics = observe.NewMetrics()
-	d.calls = d.byteCounter("calls")
-	if d.pool, err = peer.NewPool(d.calls); err != nil {
+	d.callBytes = d.byteCounter("calls")
+	if d.pool, err = peer.NewPool(d.callBytes); err != nil {
 		return nil, err
 	}
 	if err := d.assemble(); err != nil {
@@ -119,21 +119,22 @@
 		member.WithDigest(d.spread), member.WithLogger(d.log), member.WithCount(d.byteCounter("gossip")))
 	dir := directory.New(d.clock)
 	d.network = newNetwork(d.table, d.pool.Dial, d.clock, d.log)
-	d.guard = quarantine.New(d.network, prober{d}, d.clock, d.log, quarantine.WithScope(scope), quarantine.WithStore(client, d.readsHolds))
+	d.quarantine = quarantine.New(d.network, prober{d}, d.clock, d.log, quarantine.WithScope(scope), quarantine.WithStore(client, d.shouldReadHolds))
 	d.owner = owner.New(d.replica, d.table, client, d.connect, d.clock, owner.WithLogger(d.log), owner.WithScope(scope.SubScope("owner")),
-		owner.WithFresh(d.spread.Fresh), owner.WithDirectory(d.report, d.find), owner.WithGuard(d.guard))
+		owner.WithFresh(d.spread.Fresh), owner.WithDirectory(d.report, d.find), owner.WithGuard(d.quarantine))
 	d.claims = claim.New(client, d.table, d.clock, d.log)
 	d.entry = entry.New(d.replica, d.table, d.pool.Dial, d.owner, dir, d.claims, d.clock, entry.WithLogger(d.log),
-		entry.WithScope(scope.SubScope("entry")), entry.WithGuard(d.guard), entry.WithHeld(int64(set.Held.Bytes), time.Duration(set.Held.Life)))
+		entry.WithScope(scope.SubScope("entry")), entry.WithGuard(d.quarantine), entry.WithHeld(int64(set.Held.Bytes), time.Duration(set.Held.Life)))
 	d.planner = planner.NewRole(planner.Default(), d.replica, d.table, d.pool.Dial, d.clock, d.log)
-	d.callers = routers.New(d.entry, d.clock, d.log, int64(set.Limits.Body), time.Duration(set.Limits.Sender))
+	d.api = routers.New(d.entry, d.clock, d.log, int64(set.Limits.Body), time.Duration(set.Limits.Sender))
 	return d.listen(&rpc.Handler{
 		Table: d.table, Spread: d.spread, Replica: d.replica, Owner: d.owner, Entry: d.entry, Dir: dir, Clock: d.clock, Planner: d.planner,
 		Messages: d.network,
 	}, client)
 }
 
-// prober asks endpoints that this daemon owns; it implements quarantine.Prober.
+// prober requests reports from the endpoints that this daemon owns. It implements
+// quarantine.Prober.
 type prober struct{ d *Daemon }
 
 // Report implements quarantine.Prober.
@@ -141,14 +142,15 @@
 	return p.d.owner.Report(ctx, r)
 }
 
-// readsHolds says whether this daemon is the one that reads what operators have changed of
-// the requests that are held back.
-func (d *Daemon) readsHolds() bool {
+// shouldReadHolds reports whether this daemon is the one that reads the changes that operators
+// have made to the records of requests on hold.
+func (d *Daemon) shouldReadHolds() bool {
 	first := d.table.Rank(core.KindHolds, "", 1)
 	return len(first) > 0 && first[0].Name == d.set.Name
 }
 
-// byteCounter counts bytes between daemons, both ways.
+// byteCounter returns a function that counts the bytes of one kind of traffic between daemons,
+// in both directions.
 func (d *Daemon) byteCounter(kind string) func(int) {
 	c := d.metrics.Scope.Tagged(map[string]string{"kind": kind}).Counter("peer_bytes")
 	return func(n int) { c.Inc(int64(n)) }
@@ -161,7 +163,7 @@
 }
 
 func (d *Daemon) connect(_ string, spec tree.Endpoint) core.Endpoint {
-	addr, _ := netip.ParseAddrPort(spec.Addr) // checked when the tree was accepted
+	addr, _ := netip.ParseAddrPort(spec.Addr) // valid: it was checked when the tree was accepted
 	if spec.Kind == tree.KindModel {
 		return endpoint.New(addr, d.clock, endpoint.WithEcho())
 	}
@@ -176,10 +178,11 @@
 	return d.entry.Directory(ctx, key)
 }
 
-func (d *Daemon) sync(ctx context.Context, to netip.AddrPort, mine []core.Member) ([]core.Member, error) {
+// sync exchanges member lists with the daemon at an address, and returns that daemon's list.
+func (d *Daemon) sync(ctx context.Context, to netip.AddrPort, local []core.Member) ([]core.Member, error) {
 	ctx, cancel := context.WithTimeout(ctx, time.Second)
 	defer cancel()
-	resp, err := d.pool.Dial(to).Sync(ctx, connect.NewRequest(rpc.MembersToWire(mine)))
+	resp, err := d.pool.Dial(to).Sync(ctx, connect.NewRequest(rpc.MembersToWire(local)))
 	if err != nil {
 		return nil, err
 	}
@@ -192,24 +195,24 @@
 	return out, nil
 }
 
-// listen opens the three listeners.
+// listen opens the listeners for other daemons, operators and callers.
 func (d *Daemon) listen(h *rpc.Handler, client core.Platform) error {
 	peers, err := peer.NewServer(h)
 	if err != nil {
 		return err
 	}
 	trees := service.New(d.replica, client, d.spread, d.clock)
-	ops := &admin.Admin{
+	operators := &admin.Admin{
 		Trees:    trees,
 		Statuses: service.NewStatuses(trees, d.table, d.pool.Dial),
 		Fleet:    service.NewFleet(d.table, d.pool.Dial),
-		Holds:    holds.NewTable(d.guard, d.clock),
+		Holds:    holds.NewTable(d.quarantine, d.clock),
 		Metrics:  d.metrics.Handler,
 		Ready:    d.Ready,
 		Token:    d.set.Token,
 	}
-	admins := &http.Server{Handler: ops.Handler(), ReadHeaderTimeout: adminHeader}
-	callers := d.callers.Server(int(d.set.Limits.Header))
+	admins := &http.Server{Handler: operators.Handler(), ReadHeaderTimeout: adminHeaderTimeout}
+	callers := d.api.Server(int(d.set.Limits.Header))
 	for _, one := range []struct {
 		name   string
 		addr   netip.AddrPort
@@ -221,7 +224,7 @@
 		}
 		var ln net.Listener = tcp
 		if one.server == peers {
-			ln = peer.Counted(tcp, d.calls)
+			ln = peer.NewCountingListener(tcp, d.callBytes)
 		}
 		d.servers = append(d.servers, one.server)
 		d.wg.Add(1)
@@ -237,12 +240,13 @@
 	}
 }
 
-// Ready says whether the daemon has settings and is not leaving.
+// Ready reports whether the daemon has settings and is not leaving.
 func (d *Daemon) Ready() bool {
 	return d.replica.Tree() != nil && !d.leaving.Load()
 }
 
-// runGauges shows the settings' highest version and the work in progress.
+// runGauges updates the gauges of the highest version of the settings, of the requests in
+// progress and of the members.
 func (d *Daemon) runGauges(ctx context.Context) {
 	defer d.wg.Done()
 	for ctx.Err() == nil {
@@ -254,11 +258,11 @@
 		d.metrics.Scope.Gauge("entry_running").Update(float64(d.entry.Running()))
 		d.metrics.Scope.Gauge("owner_running").Update(float64(d.owner.Running()))
 		d.metrics.Scope.Gauge("members").Update(float64(len(d.table.All())))
-		core.Sleep(ctx, d.clock, gaugeEvery)
+		core.Sleep(ctx, d.clock, gaugeInterval)
 	}
 }
 
-// Start begins to serve.
+// Start starts the components. The listeners are open since New.
 func (d *Daemon) Start() {
 	gauges, stop := context.WithCancel(context.Background())
 	d.stopGauges = stop
@@ -267,7 +271,7 @@
 	d.gossip.Start()
 	d.spread.Start()
 	d.claims.Start()
-	d.guard.Start()
+	d.quarantine.Start()
 	d.owner.Start()
 	d.entry.Start()
 	d.planner.Start()
@@ -275,26 +279,27 @@
 		zap.Stringer("peer", d.set.PeerAddr), zap.Stringer("admin", d.set.AdminAddr))
 }
 
-// Reload says that settings of the process need a restart here; operators change
-// the settings tree instead.
+// Reload logs that changes of the process's settings need a restart. Operators change the
+// settings tree instead.
 func (d *Daemon) Reload(*setting.Setting) {
 	d.log.Warn(logs.NotReloaded, zap.String("reason", "needs a restart"))
 }
 
-// Stop leaves without cutting a request: others learn of it first and take
-// over what this daemon owns; addresses that callers hold run out; requests in
-// progress end in their own time, however long; answers held for callers go to
-// daemons that stay. When ctx ends before, what is left is cut.
+// Stop shuts the daemon down without interrupting requests. It first announces the shutdown,
+// upon which other daemons take over the endpoints that this daemon owns, and waits until the
+// addresses that callers have been given expire. Requests in progress may complete, however
+// long they take, and stored answers are handed over to other daemons. If ctx is done before
+// that, the remaining requests are interrupted.
 func (d *Daemon) Stop(ctx context.Context) {
 	d.log.Info("leaving")
 	d.leaving.Store(true)
-	d.callers.Leave()
+	d.api.Leave()
 	d.planner.Stop()
 	d.table.SetState(core.MemberLeaving)
-	core.Sleep(ctx, d.clock, spreadLeave+d.life)
+	core.Sleep(ctx, d.clock, leavePropagation+d.addressTTL)
 	d.drain(ctx)
-	hand, cancel := context.WithTimeout(ctx, handOver)
-	d.entry.HandOver(hand)
+	handOver, cancel := context.WithTimeout(ctx, handOverTimeout)
+	d.entry.HandOver(handOver)
 	cancel()
 	for _, s := range []int{2, 1} { // callers, then operators
 		if err := d.servers[s].Shutdown(ctx); err != nil {
@@ -303,12 +308,12 @@
 	}
 	d.entry.Stop()
 	d.owner.Stop()
-	d.guard.Stop()
-	d.network.stop()
+	d.quarantine.Stop()
+	d.network.wait()
 	d.claims.Stop()
 	d.spread.Stop()
 	d.table.SetState(core.MemberDead)
-	core.Sleep(ctx, d.clock, spreadLeave/2)
+	core.Sleep(ctx, d.clock, leavePropagation/2)
 	d.gossip.Stop()
 	if err := d.servers[0].Shutdown(ctx); err != nil {
 		_ = d.servers[0].Close()
@@ -320,10 +325,9 @@
 	d.log.Info("stopped")
 }
 
-// drain waits until no request is in progress here, neither as entry nor as
-// owner.
+// drain waits until no request is in progress at this daemon, neither as entry nor as owner.
 func (d *Daemon) drain(ctx context.Context) {
 	for ctx.Err() == nil && (d.entry.Running() > 0 || d.owner.Running() > 0) {
-		core.Sleep(ctx, d.clock, drainCheck)
+		core.Sleep(ctx, d.clock, drainPoll)
 	}
 }
--- a/services/daemon/network.go
+++ b/services/daemon/network.go
@@ -19,44 +19,44 @@
 )
 
 const (
-	// messageLimit bounds a message that has no answer.
-	messageLimit = time.Second
-	// maxMessages bounds the messages that are on their way; more are dropped.
+	// messageTimeout bounds the sending of a message that has no reply.
+	messageTimeout = time.Second
+	// maxMessages bounds the number of such messages in transit. Further ones are dropped.
 	maxMessages = 256
 )
 
-// network brings messages to the other daemons, as calls; it implements
-// quarantine.Network and rpc.Messages.
+// network sends messages to other daemons as RPC calls. It implements quarantine.Network and
+// rpc.MessageHandler.
 type network struct {
 	members  core.Members
 	dial     peer.Dial
 	clock    core.Clock
 	log      *zap.Logger
 	handlers map[string]peers.Handler
-	places   chan struct{} // one for each message on its way
+	inFlight chan struct{} // holds one element for each message in transit
 	wg       sync.WaitGroup
 }
 
 var _ quarantine.Network = (*network)(nil)
 
 func newNetwork(members core.Members, dial peer.Dial, clock core.Clock, log *zap.Logger) *network {
-	return &network{members: members, dial: dial, clock: clock, log: log, handlers: map[string]peers.Handler{}, places: make(chan struct{}, maxMessages)}
+	return &network{members: members, dial: dial, clock: clock, log: log, handlers: map[string]peers.Handler{}, inFlight: make(chan struct{}, maxMessages)}
 }
 
-func peerOf(m core.Member) peers.Peer {
+func memberToPeer(m core.Member) peers.Peer {
 	return peers.Peer{Name: m.Name, Place: m.Place, Caller: m.Caller, Peer: m.Peer, Boot: m.Boot, Leaving: m.State == core.MemberLeaving}
 }
 
 // Self implements quarantine.Network.
-func (n *network) Self() peers.Peer { return peerOf(n.members.Self()) }
+func (n *network) Self() peers.Peer { return memberToPeer(n.members.Self()) }
 
-// Alive implements quarantine.Network: this daemon comes first.
+// Alive implements quarantine.Network. This daemon is the first in the list.
 func (n *network) Alive() []peers.Peer {
 	self := n.Self()
 	out := []peers.Peer{self}
 	for _, m := range n.members.All() {
 		if m.Name != self.Name {
-			out = append(out, peerOf(m))
+			out = append(out, memberToPeer(m))
 		}
 	}
 	return out
@@ -65,8 +65,8 @@
 // Handle implements quarantine.Network.
 func (n *network) Handle(kind string, h peers.Handler) { n.handlers[kind] = h }
 
-// Take implements rpc.Messages.
-func (n *network) Take(from, kind string, body []byte) ([]byte, error) {
+// HandleMessage implements rpc.MessageHandler.
+func (n *network) HandleMessage(from, kind string, body []byte) ([]byte, error) {
 	m, err := n.members.Get(from)
 	if err != nil {
 		return nil, err
@@ -76,11 +76,11 @@
 		return nil, eris.Wrapf(core.ErrNotFound, "message of kind %q", kind)
 	}
 	var out []byte
-	h(peerOf(m), body, func(v any) { out = n.encode(v) })
+	h(memberToPeer(m), body, func(v any) { out = n.encode(v) })
 	return out, nil
 }
 
-// encode writes a message; nil if it can't be written, which is logged.
+// encode encodes a message. It logs an error and returns nil if the message cannot be encoded.
 func (n *network) encode(v any) []byte {
 	data, err := json.Marshal(v)
 	if err != nil {
@@ -97,19 +97,20 @@
 		return
 	}
 	select {
-	case n.places <- struct{}{}:
+	case n.inFlight <- struct{}{}:
 	default:
 		n.log.Debug(logs.DatagramUnsent, zap.String("other", to.Name), zap.String("kind", kind))
 		return
 	}
 	n.wg.Add(1)
-	go n.runTell(to, kind, data)
+	go n.sendMessage(to, kind, data)
 }
 
-func (n *network) runTell(to peers.Peer, kind string, data []byte) {
+// sendMessage sends an encoded message and releases its slot.
+func (n *network) sendMessage(to peers.Peer, kind string, data []byte) {
 	defer n.wg.Done()
-	defer func() { <-n.places }()
-	ctx, cancel := context.WithTimeout(context.Background(), messageLimit)
+	defer func() { <-n.inFlight }()
+	ctx, cancel := context.WithTimeout(context.Background(), messageTimeout)
 	defer cancel()
 	if _, err := n.call(ctx, to, kind, data); err != nil {
 		n.log.Debug(logs.DatagramUnsent, zap.String("other", to.Name), zap.String("kind", kind), logs.Err(err))
@@ -123,16 +124,17 @@
 	}
 }
 
-// Ask implements quarantine.Network. Calls are not lost; one that fails is made again.
-func (n *network) Ask(ctx context.Context, to peers.Peer, kind string, question, out any, resend time.Duration) error {
-	data, err := json.Marshal(question)
+// Ask implements quarantine.Network. A call fails rather than getting lost, and a failed call is
+// made again after the resend interval until ctx is done.
+func (n *network) Ask(ctx context.Context, to peers.Peer, kind string, request, out any, resend time.Duration) error {
+	data, err := json.Marshal(request)
 	if err != nil {
-		return eris.Wrap(err, "question")
+		return eris.Wrap(err, "request")
 	}
 	for {
-		answer, err := n.call(ctx, to, kind, data)
+		reply, err := n.call(ctx, to, kind, data)
 		if err == nil {
-			return json.Unmarshal(answer, out)
+			return json.Unmarshal(reply, out)
 		}
 		core.Sleep(ctx, n.clock, resend)
 		if ctx.Err() != nil {
@@ -149,5 +151,5 @@
 	return resp.Msg.Body, nil
 }
 
-// stop waits for the messages that are on their way.
-func (n *network) stop() { n.wg.Wait() }
+// wait waits until no message is in transit.
+func (n *network) wait() { n.wg.Wait() }
--- a/services/holds/holds.go
+++ b/services/holds/holds.go
@@ -1,5 +1,5 @@
-// Package holds shows operators which requests are held back because runners ended under
-// them, and releases one.
+// Package holds lists for operators the requests that are on hold because runners exited
+// under them, and releases single ones.
 package holds
 
 import (
@@ -13,71 +13,71 @@
 	"primroseward/state/hold"
 )
 
-// leftStep is how exactly times are shown.
-const leftStep = 100 * time.Millisecond
+// timeResolution is the resolution of the times that are shown.
+const timeResolution = 100 * time.Millisecond
 
-// Status is one request that is or was held back. Of the request itself only a digest is
-// known.
+// Status is a request that is or was on hold. Only a digest of the request itself is stored.
 type Status struct {
 	Digest  core.Digest `json:"digest"`
 	State   hold.State  `json:"state"`
 	By      hold.By     `json:"by,omitempty"` // who released it
 	Route   string      `json:"route"`
 	Service string      `json:"service"`
-	Runners int         `json:"runners"` // that have ended under it
+	Runners int         `json:"runners"` // that exited under it
 	Since   time.Time   `json:"since"`
-	Left    string      `json:"left"`  // until one run of it is tried
-	Times   int         `json:"times"` // that it was held back
+	Left    string      `json:"left"`  // until a trial is allowed
+	Times   int         `json:"times"` // that it was put on hold
 }
 
-// List shows records, the latest first.
+// List returns the status of the records, the most recent first.
 func List(records []hold.Record, now time.Time) []Status {
 	out := make([]Status, 0, len(records))
 	for i := range records {
 		r := &records[i]
 		out = append(out, Status{
 			Digest: r.Digest, State: r.State, By: r.By, Route: r.Route, Service: r.Service, Runners: r.Runners,
-			Since: r.Since, Left: r.Left(now).Round(leftStep).String(), Times: r.Level + 1,
+			Since: r.Since, Left: r.Left(now).Round(timeResolution).String(), Times: r.Level + 1,
 		})
 	}
 	sort.Slice(out, func(i, j int) bool { return out[i].Since.After(out[j].Since) })
 	return out
 }
 
-// ErrNotHeld is the error of a release of what is not held back. It wraps core.ErrNotFound.
-var ErrNotHeld = eris.Wrap(core.ErrNotFound, "the request is not held back")
+// ErrNotHeld is the error for the release of a request that is not on hold. It wraps
+// core.ErrNotFound.
+var ErrNotHeld = eris.Wrap(core.ErrNotFound, "the request is not on hold")
 
-// Keeper is a daemon's part in holding requests back.
-type Keeper interface {
+// Quarantine provides the holds of a daemon.
+type Quarantine interface {
 	Records() []hold.Record
-	// Release says whether the request was held back.
+	// Release ends the hold of a request, and reports whether there was one.
 	Release(d core.Digest) bool
 }
 
-// Table shows and changes the records that a daemon knows.
+// Table lists and releases the holds of a daemon.
 type Table struct {
-	keeper Keeper
-	clock  core.Clock
+	quarantine Quarantine
+	clock      core.Clock
 }
 
 // NewTable returns a Table.
-func NewTable(k Keeper, clock core.Clock) *Table { return &Table{keeper: k, clock: clock} }
+func NewTable(q Quarantine, clock core.Clock) *Table { return &Table{quarantine: q, clock: clock} }
 
-// Holds lists the records.
+// Holds returns the status of the holds.
 func (t *Table) Holds(context.Context) ([]Status, error) {
-	return List(t.keeper.Records(), t.clock.Now()), nil
+	return List(t.quarantine.Records(), t.clock.Now()), nil
 }
 
-// Release ends a request's hold. Its error is ErrNotHeld if there is none.
+// Release ends the hold of a request. It returns ErrNotHeld if there is none.
 func (t *Table) Release(_ context.Context, d core.Digest) error {
-	if !t.keeper.Release(d) {
+	if !t.quarantine.Release(d) {
 		return ErrNotHeld
 	}
 	return nil
 }
 
-// Store shows and changes the records that the platform's store keeps. Daemons take in
-// such a change within seconds.
+// Store lists and releases the holds in the platform's store. Daemons apply such a release
+// within seconds.
 type Store struct {
 	store core.Platform
 	clock core.Clock
@@ -88,7 +88,7 @@
 	return &Store{store: store, clock: clock}
 }
 
-// Holds lists the records; those that can't be read are left out.
+// Holds returns the status of the holds. Records that cannot be read are left out.
 func (s *Store) Holds(ctx context.Context) ([]Status, error) {
 	objects, _, err := s.store.List(ctx, core.KindHolds)
 	if err != nil {
@@ -104,7 +104,8 @@
 	return List(records, now), nil
 }
 
-// Release ends a request's hold. Its error is ErrNotHeld if there is none.
+// Release ends the hold of a request. It returns ErrNotHeld if the record is not on hold, and
+// core.ErrNotFound if there is no record.
 func (s *Store) Release(ctx context.Context, d core.Digest) error {
 	o, err := s.store.Get(ctx, core.KindHolds, d.String())
 	if err != nil {
--- a/services/holds/holds_test.go
+++ b/services/holds/holds_test.go
@@ -14,7 +14,7 @@
 	"primroseward/state/hold"
 )
 
-func TestReleaseInTheStore(t *testing.T) {
+func TestStoreRelease(t *testing.T) {
 	ctx, clock := context.Background(), clockwork.NewFakeClock()
 	store := memory.New().Client()
 	s := NewStore(store, clock)
--- a/services/limits/limits.go
+++ b/services/limits/limits.go
@@ -1,5 +1,5 @@
-// Package limits shows operators the limits that runners name, and the rates of the
-// settings, as a daemon knows them.
+// Package limits lists for operators the limits that runners declare and the limits of the
+// settings tree, as one daemon sees them.
 package limits
 
 import (
@@ -9,21 +9,21 @@
 	"primroseward/coordination/allowance"
 )
 
-// Status is a limit as this daemon knows it.
+// Status is a limit as this daemon sees it.
 type Status struct {
-	Name    string  `json:"name"`    // a runner, or settings and a node of theirs
-	Rate    float64 `json:"rate"`    // requests a second, over all daemons
-	Asked   float64 `json:"asked"`   // requests a second, over all daemons in touch
-	Sent    float64 `json:"sent"`    // requests a second, over all daemons in touch
-	Left    float64 `json:"left"`    // requests that may be sent at once
-	Share   float64 `json:"share"`   // of the limit that the daemons in touch have
-	Refused int64   `json:"refused"` // by this daemon
-	From    string  `json:"from"`    // the daemon that heard it from the runner; empty: this one
-	Heard   float64 `json:"heard"`   // seconds since then
-	Age     float64 `json:"age"`     // seconds since the others told what they send
+	Name    string  `json:"name"`    // of a runner, or "settings" and a node of the settings tree
+	Rate    float64 `json:"rate"`    // requests per second, for all daemons together
+	Asked   float64 `json:"asked"`   // demand in requests per second, over all reachable daemons
+	Sent    float64 `json:"sent"`    // requests sent per second, over all reachable daemons
+	Left    float64 `json:"left"`    // number of requests that may be sent at once
+	Share   float64 `json:"share"`   // share of the limit that the reachable daemons have
+	Refused int64   `json:"refused"` // number of requests that this daemon has refused
+	From    string  `json:"from"`    // the daemon that read the limit from the runner's answer; empty: this one
+	Heard   float64 `json:"heard"`   // age of that answer in seconds
+	Age     float64 `json:"age"`     // age in seconds of the other daemons' reports of what they send
 }
 
-// List shows limits by their names.
+// List returns the status of the limits, sorted by name.
 func List(states []allowance.LimitState) []Status {
 	out := make([]Status, 0, len(states))
 	for _, s := range states {
--- a/services/observe/observe.go
+++ b/services/observe/observe.go
@@ -20,9 +20,9 @@
 	"primroseward/setting"
 )
 
-const reportMetrics = time.Second
+const reportInterval = time.Second
 
-// Metrics is the root scope with the handler that shows it.
+// Metrics is the root scope of the metrics with the HTTP handler that exports it.
 type Metrics struct {
 	Scope   tally.Scope
 	Handler http.Handler
@@ -37,13 +37,13 @@
 		CachedReporter:  reporter,
 		Separator:       prometheus.DefaultSeparator,
 		SanitizeOptions: &prometheus.DefaultSanitizerOpts,
-	}, reportMetrics)
+	}, reportInterval)
 	return &Metrics{Scope: scope, Handler: reporter.HTTPHandler()}
 }
 
-// StartTraces sets up tracing: a span for each hop, joined by traceparent
-// headers, exported where the settings name a collector. The function returned
-// sends what is left.
+// StartTraces sets up tracing: each hop has a span, and the spans of a request are linked by
+// traceparent headers. They are exported if the settings name a collector. The returned
+// function sends the spans that are still buffered and shuts the export down.
 func StartTraces(set *setting.Setting) (func(context.Context) error, error) {
 	otel.SetTextMapPropagator(propagation.TraceContext{})
 	if set.Trace.Endpoint == "" {
--- a/services/workspaces/workspaces.go
+++ b/services/workspaces/workspaces.go
@@ -1,4 +1,4 @@
-// Package workspaces shows operators the allowances of workspaces as a daemon knows them.
+// Package workspaces lists for operators the allowances of workspaces, as one daemon sees them.
 package workspaces
 
 import (
@@ -11,28 +11,30 @@
 	"primroseward/core"
 )
 
-// ageStep is how exactly ages are shown.
-const ageStep = 10 * time.Millisecond
+// ageResolution is the resolution of the ages that are shown.
+const ageResolution = 10 * time.Millisecond
 
-// Status is one workspace. Rates are in units a second over all daemons in touch.
+// Status is the state of a workspace. Rates are in units per second, over all reachable
+// daemons.
 type Status struct {
 	Name    string   `json:"name"`
 	Unit    string   `json:"unit"`
 	Rate    float64  `json:"rate"` // 0: no limit
 	Burst   float64  `json:"burst"`
-	Keys    []string `json:"keys"` // short hashes
-	Asked   float64  `json:"asked"`
-	Spent   float64  `json:"spent"`
-	Left    float64  `json:"left"`    // units that may be let in at once
-	Share   float64  `json:"share"`   // of the allowance that the daemons in touch have
-	Refused int64    `json:"refused"` // requests, by this daemon since it started
-	Age     string   `json:"age"`     // of what the other daemons have told
-	Problem bool     `json:"problem"` // its allowance could not be read: nobody is let in
+	Keys    []string `json:"keys"`    // short hashes of the keys
+	Asked   float64  `json:"asked"`   // demand
+	Spent   float64  `json:"spent"`   // accepted
+	Left    float64  `json:"left"`    // units that may be accepted at once
+	Share   float64  `json:"share"`   // share of the allowance that the reachable daemons have
+	Refused int64    `json:"refused"` // requests that this daemon has refused since it started
+	Age     string   `json:"age"`     // of the other daemons' reports of usage
+	Problem bool     `json:"problem"` // its allowance could not be read: all requests are refused
 }
 
 var units = map[core.Unit]string{core.UnitRequests: "requests", core.UnitTokens: "tokens"}
 
-// List shows a configuration's workspaces, those that ask for most of their rate first.
+// List returns the status of a configuration's workspaces, sorted by their demand relative to
+// their rate, the highest first.
 func List(of []*core.Workspace, states []allowance.State) []Status {
 	known := make(map[string]allowance.State, len(states))
 	for _, s := range states {
@@ -44,7 +46,7 @@
 		one := Status{
 			Name: w.Name, Unit: units[w.Unit], Rate: w.Rate, Burst: w.Burst, Keys: make([]string, 0, len(w.Keys)),
 			Asked: math.Round(s.Asked), Spent: math.Round(s.Spent), Left: math.Round(s.Left), Share: s.Share, Refused: s.Refused,
-			Age: s.Age.Round(ageStep).String(), Problem: w.Invalid,
+			Age: s.Age.Round(ageResolution).String(), Problem: w.Invalid,
 		}
 		for _, k := range w.Keys {
 			one.Keys = append(one.Keys, k.String())
--- a/transport/admin/admin.go
+++ b/transport/admin/admin.go
@@ -1,6 +1,5 @@
-// Package admin answers operators over HTTP on a listener of its own: the
-// settings tree, status, runners and moves, metrics and health. Callers cannot
-// reach it.
+// Package admin serves the operators' HTTP API: the settings tree, the status, runners and
+// moves, metrics and health checks. It has a listener of its own, which callers cannot reach.
 package admin
 
 import (
@@ -26,41 +25,42 @@
 
 const maxBody = 16 << 20
 
-// HeaderOperator names the operator who edits.
+// HeaderOperator is the header with the name of the operator who makes an edit.
 const HeaderOperator = "Primrose-Operator"
 
-// Statuses tells of the whole system.
+// Statuses provides the status of the whole system.
 type Statuses interface {
 	Status(ctx context.Context) service.Status
 }
 
-// Fleet tells of the runners.
+// Fleet provides the state of the runners.
 type Fleet interface {
 	Runners(ctx context.Context) []service.RunnerStatus
-	// Moves fails with core.ErrUnavailable where another daemon has to be asked.
+	// Moves fails with core.ErrUnavailable if only another daemon can list the moves.
 	Moves(ctx context.Context) ([]service.MoveStatus, error)
 }
 
-// Holds tells of the requests that are held back.
+// Holds lists and releases the requests on hold.
 type Holds interface {
 	Holds(ctx context.Context) ([]holds.Status, error)
-	// Release fails with core.ErrNotFound where a request is not held back.
+	// Release fails with core.ErrNotFound if the request is not on hold.
 	Release(ctx context.Context, d core.Digest) error
 }
 
-// Admin answers operators.
+// Admin serves the operators' API.
 type Admin struct {
 	Trees    *service.Service
 	Statuses Statuses
 	Fleet    Fleet
-	Holds    Holds // nil: nothing is held back here
-	// Workspaces tells of the workspaces' allowances; nil: there are none here.
+	Holds    Holds // nil: requests are never put on hold; the routes do not exist
+	// Workspaces returns the workspaces' allowances. If it is nil, the route does not exist.
 	Workspaces func() []workspaces.Status
-	// Limits tells of the limits that runners name; nil: none are kept here.
+	// Limits returns the limits that runners declare and those of the settings. If it is nil, the
+	// route does not exist.
 	Limits   func() []limits.Status
 	Metrics  http.Handler
 	Ready    func() bool
-	Token    string // empty: none is asked for
+	Token    string // empty: no token is required
 	ReadOnly bool   // edits are refused
 }
 
@@ -78,14 +78,14 @@
 	Note    string          `json:"note"`
 }
 
-// Handler returns the routes.
+// Handler returns the handler of all routes.
 func (a *Admin) Handler() http.Handler {
 	r := chi.NewRouter()
 	r.Get("/healthz", func(w http.ResponseWriter, _ *http.Request) { reply(w, http.StatusOK, map[string]bool{"ok": true}) })
 	r.Get("/readyz", a.ready)
 	r.Handle("/metrics", a.Metrics)
 	r.Route("/admin", func(r chi.Router) {
-		r.Use(a.authorise)
+		r.Use(a.authorize)
 		r.Get("/tree", a.get)
 		r.Put("/tree", a.set)
 		r.Post("/tree", a.apply)
@@ -109,7 +109,8 @@
 	return r
 }
 
-func (a *Admin) authorise(next http.Handler) http.Handler {
+// authorize requires the token and refuses edits if the API is read-only.
+func (a *Admin) authorize(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		given := strings.TrimPrefix(r.Header.Get("Authorization"), "Bearer ")
 		if a.Token != "" && subtle.ConstantTimeCompare([]byte(given), []byte(a.Token)) != 1 {
@@ -117,7 +118,7 @@
 			return
 		}
 		if a.ReadOnly && r.Method != http.MethodGet {
-			reply(w, http.StatusForbidden, Problem{Error: "this daemon takes no edits: its settings file has no token; edit the platform's store (primrosectl --store)"})
+			reply(w, http.StatusForbidden, Problem{Error: "this daemon is read-only: its settings file has no token; edit the platform's store (primrosectl --store)"})
 			return
 		}
 		r.Body = http.MaxBytesReader(w, r.Body, maxBody)
@@ -149,14 +150,14 @@
 		fail(w, strict.Problems{{Path: "(document)", Text: err.Error()}})
 		return
 	}
-	e := service.Edit{Path: r.URL.Query().Get("path"), Version: edit.Version, By: operator(r), Note: edit.Note}
+	change := service.Edit{Path: r.URL.Query().Get("path"), Version: edit.Version, By: operator(r), Note: edit.Note}
 	if len(edit.Node) > 0 && string(edit.Node) != "null" {
-		if e.Node, err = tree.ParseNode(edit.Node); err != nil {
+		if change.Node, err = tree.ParseNode(edit.Node); err != nil {
 			fail(w, err)
 			return
 		}
 	}
-	got, err := a.Trees.Set(context.WithoutCancel(r.Context()), e)
+	got, err := a.Trees.Set(context.WithoutCancel(r.Context()), change)
 	answer(w, got, err)
 }
 
@@ -192,7 +193,7 @@
 	reply(w, http.StatusOK, a.Statuses.Status(r.Context()))
 }
 
-// versions says what is in force at this daemon alone.
+// versions serves the versions of the branches in force at this daemon.
 func (a *Admin) versions(w http.ResponseWriter, _ *http.Request) {
 	reply(w, http.StatusOK, a.Trees.Versions())
 }
@@ -229,6 +230,7 @@
 	answer(w, map[string]bool{"released": err == nil}, err)
 }
 
+// answer writes the body, or the error if there is one.
 func answer(w http.ResponseWriter, body any, err error) {
 	if err != nil {
 		fail(w, err)
@@ -237,6 +239,7 @@
 	reply(w, http.StatusOK, body)
 }
 
+// fail writes an error with the status code for its kind.
 func fail(w http.ResponseWriter, err error) {
 	p := Problem{Error: err.Error()}
 	var problems strict.Problems
--- a/transport/admin/admin_test.go
+++ b/transport/admin/admin_test.go
@@ -8,8 +8,9 @@
 	"gotest.tools/v3/assert"
 )
 
-// Anybody who reaches the admin listener could edit the settings.
-func TestTokenIsAskedFor(t *testing.T) {
+// Without a token check, anybody who can reach the admin listener could edit the settings. The
+// health checks need no token.
+func TestTokenIsRequired(t *testing.T) {
 	a := &Admin{Token: "secret", Metrics: http.NotFoundHandler(), Ready: func() bool { return false }}
 	cases := []struct {
 		path, token string
@@ -30,8 +31,8 @@
 	}
 }
 
-// Anybody who reaches the metrics of a daemon without a token could edit the
-// settings.
+// Without a token in the settings file the API must refuse edits. Otherwise anybody who can
+// reach the metrics could edit the settings.
 func TestReadOnly(t *testing.T) {
 	a := &Admin{ReadOnly: true, Metrics: http.NotFoundHandler(), Ready: func() bool { return true }}
 	for _, method := range []string{http.MethodPut, http.MethodPost, http.MethodDelete} {
--- a/transport/peer/peer.go
+++ b/transport/peer/peer.go
@@ -1,5 +1,5 @@
-// Package peer carries the calls between daemons: connect over HTTP/2 without
-// TLS, with pings that find connections gone silent.
+// Package peer provides the clients and the server for calls between daemons. Calls use
+// Connect over HTTP/2 without TLS, with pings that detect stalled connections.
 package peer
 
 import (
@@ -18,9 +18,10 @@
 	"primroseward/protocol/peerv1/peerv1connect"
 )
 
-// Times after which a connection that answers no ping is closed. A connection
-// that something between two daemons has forgotten swallows bytes without an
-// error; the streams on it would wait for ever.
+// A connection that has received nothing for pingAfter is pinged, and closed if the ping is not
+// answered within pingTimeout. If a device between two daemons has dropped the state of a
+// connection, bytes sent on it are lost without an error, and the streams on it would wait
+// forever.
 const (
 	pingAfter   = time.Second
 	pingTimeout = time.Second
@@ -28,10 +29,10 @@
 	idleTimeout = 2 * time.Minute
 )
 
-// Dial returns the client of the daemon at an address.
+// Dial returns the client for the daemon at an address.
 type Dial func(netip.AddrPort) peerv1connect.PeerClient
 
-// Pool keeps one client for each daemon.
+// Pool holds one client for each daemon.
 type Pool struct {
 	http    *http.Client
 	options []connect.ClientOption
@@ -40,13 +41,14 @@
 	clients map[netip.AddrPort]peerv1connect.PeerClient
 }
 
-// Count is told of bytes that cross a connection between daemons.
-type Count func(n int)
+// ByteCounter is called with the number of bytes of each read from and each write to a
+// connection between daemons.
+type ByteCounter func(n int)
 
-// countConn counts what crosses a connection, both ways.
+// countConn counts the bytes that are read from and written to a connection.
 type countConn struct {
 	net.Conn
-	count Count
+	count ByteCounter
 }
 
 func (c countConn) Read(b []byte) (int, error) {
@@ -61,10 +63,10 @@
 	return n, err
 }
 
-// countListener counts what crosses the connections it accepts.
+// countListener counts the bytes of the connections that it accepts.
 type countListener struct {
 	net.Listener
-	count Count
+	count ByteCounter
 }
 
 func (l countListener) Accept() (net.Conn, error) {
@@ -75,11 +77,11 @@
 	return countConn{conn, l.count}, nil
 }
 
-// Counted makes a listener tell what crosses its connections.
-func Counted(l net.Listener, c Count) net.Listener { return countListener{l, c} }
+// NewCountingListener wraps a listener so that c receives the bytes of its connections.
+func NewCountingListener(l net.Listener, c ByteCounter) net.Listener { return countListener{l, c} }
 
-// NewPool returns an empty pool whose connections tell what crosses them.
-func NewPool(count Count) (*Pool, error) {
+// NewPool returns an empty pool. count receives the bytes of its connections.
+func NewPool(count ByteCounter) (*Pool, error) {
 	trace, err := otelconnect.NewInterceptor(otelconnect.WithoutMetrics(), otelconnect.WithTrustRemote())
 	if err != nil {
 		return nil, err
@@ -113,7 +115,7 @@
 	return &http.HTTP2Config{SendPingTimeout: pingAfter, PingTimeout: pingTimeout, MaxConcurrentStreams: 10000}
 }
 
-// Dial returns the client of the daemon at addr.
+// Dial returns the client for the daemon at addr.
 func (p *Pool) Dial(addr netip.AddrPort) peerv1connect.PeerClient {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -125,10 +127,10 @@
 	return c
 }
 
-// Close drops idle connections.
+// Close closes idle connections.
 func (p *Pool) Close() { p.http.CloseIdleConnections() }
 
-// NewServer returns an HTTP server for a Peer handler.
+// NewServer returns an HTTP server for a handler of the Peer service.
 func NewServer(h peerv1connect.PeerHandler) (*http.Server, error) {
 	trace, err := otelconnect.NewInterceptor(otelconnect.WithoutMetrics(), otelconnect.WithTrustRemote())
 	if err != nil {
@@ -144,7 +146,7 @@
 	}, nil
 }
 
-// Wrap gives an error of core its connect code.
+// Wrap returns the Connect error for an error of package core; other errors are returned unchanged.
 func Wrap(err error) error {
 	codes := []struct {
 		err  error
@@ -164,7 +166,7 @@
 	return err
 }
 
-// Unwrap gives a connect error its error of core.
+// Unwrap returns the error of package core for a Connect error.
 func Unwrap(err error) error {
 	switch connect.CodeOf(err) {
 	case connect.CodeNotFound:
@@ -176,8 +178,8 @@
 	}
 }
 
-// NeverSent says whether a call failed for want of a connection, so that the
-// other side cannot have had it.
+// NeverSent reports whether a call failed because no connection could be established, so that
+// the other daemon cannot have received the call.
 func NeverSent(err error) bool {
 	var op *net.OpError
 	return errors.As(err, &op) && op.Op == "dial"
--- a/transport/routers/reply.go
+++ b/transport/routers/reply.go
@@ -1,5 +1,5 @@
-// Package routers answers callers over HTTP. It reads and checks requests and
-// writes answers; the work is done by the entry.
+// Package routers serves callers over HTTP through the native interface. It reads and
+// validates requests and writes answers; package entry processes the requests.
 package routers
 
 import (
@@ -15,10 +15,10 @@
 	"primroseward/state/answer"
 )
 
-// writeTimeout is how long a caller may take to accept one portion.
+// writeTimeout is how long a caller may take to accept one write.
 const writeTimeout = 30 * time.Second
 
-// errorBody is OpenAI's error shape with the outcome added.
+// errorBody is an error in the format of the OpenAI API, extended by the outcome.
 type errorBody struct {
 	Error errorDetail `json:"error"`
 }
@@ -43,7 +43,7 @@
 	}
 }
 
-func detail(w http.ResponseWriter, e *core.RequestError) errorBody {
+func newErrorBody(w http.ResponseWriter, e *core.RequestError) errorBody {
 	return errorBody{errorDetail{
 		Message: e.Message,
 		Type:    errorType(e.Status),
@@ -61,7 +61,7 @@
 	if e.Retry > 0 {
 		h.Set("Retry-After", strconv.Itoa(int(math.Ceil(e.Retry.Seconds()))))
 	}
-	writeJSON(w, e.Status, detail(w, e))
+	writeJSON(w, e.Status, newErrorBody(w, e))
 }
 
 func writeJSON(w http.ResponseWriter, status int, body any) {
@@ -70,19 +70,19 @@
 	_ = json.NewEncoder(w).Encode(body)
 }
 
-// errGone says that the caller can no longer be written to.
-var errGone = errors.New("the caller has gone")
+// errDisconnected is returned when the caller can no longer be written to.
+var errDisconnected = errors.New("the caller has disconnected")
 
-// writeAnswer copies an answer from an offset to the caller. An answer that
-// breaks off must not look whole: the connection is aborted, so that the
-// caller's client sees an error and not an end.
+// writeAnswer copies an answer to the caller, starting at an offset. If the answer breaks off,
+// the connection is aborted, so that the caller's client sees an error instead of an answer
+// that looks complete.
 func writeAnswer(ctx context.Context, w http.ResponseWriter, buf *answer.Buffer, offset int64) error {
 	detach := buf.Attach()
 	defer detach()
 	head, err := buf.Head(ctx)
 	if err != nil {
 		if ctx.Err() != nil {
-			return errGone
+			return errDisconnected
 		}
 		writeError(w, err)
 		return nil
@@ -95,31 +95,30 @@
 	control := http.NewResponseController(w)
 	_ = control.Flush()
 	for {
-		data, whole, err := buf.Next(ctx, offset)
+		data, complete, err := buf.Next(ctx, offset)
 		switch {
 		case ctx.Err() != nil:
-			return errGone
+			return errDisconnected
 		case err != nil:
 			abort(w, control, head, err)
-		case whole:
+		case complete:
 			return nil
 		}
 		_ = control.SetWriteDeadline(time.Now().Add(writeTimeout))
 		if _, err := w.Write(data); err != nil {
-			return errGone
+			return errDisconnected
 		}
 		if control.Flush() != nil {
-			return errGone
+			return errDisconnected
 		}
 		offset += int64(len(data))
 	}
 }
 
-// abort tells why in the stream, where it has a form for that, and cuts the
-// connection.
+// abort aborts the connection. In an event stream it sends the error as an event first.
 func abort(w http.ResponseWriter, control *http.ResponseController, head *answer.Head, err error) {
 	if head.Header.Get("Content-Type") == "text/event-stream" {
-		data, _ := json.Marshal(detail(w, core.AsRequestError(err)))
+		data, _ := json.Marshal(newErrorBody(w, core.AsRequestError(err)))
 		_, _ = w.Write([]byte("data: " + string(data) + "\n\n"))
 		_ = control.Flush()
 	}
--- a/transport/routers/routers.go
+++ b/transport/routers/routers.go
@@ -27,34 +27,34 @@
 )
 
 const (
-	maxID         = 128
-	headerTimeout = 10 * time.Second
-	idleTimeout   = 2 * time.Minute
-	headerTimeLim = "Primrose-Timeout"
+	maxID                = 128
+	headerTimeout        = 10 * time.Second
+	idleTimeout          = 2 * time.Minute
+	headerRequestTimeout = "Primrose-Timeout"
 )
 
-// Callers answers callers.
-type Callers struct {
-	entry   *entry.Entry
-	clock   core.Clock
-	log     *zap.Logger
-	body    int64
-	sender  time.Duration
-	leaving atomic.Bool
+// API serves the native interface to callers.
+type API struct {
+	entry       *entry.Entry
+	clock       core.Clock
+	log         *zap.Logger
+	maxBody     int64
+	bodyTimeout time.Duration
+	leaving     atomic.Bool
 }
 
-// New makes a Callers. body bounds a request's body in bytes, sender the time
-// to send it.
-func New(e *entry.Entry, clock core.Clock, log *zap.Logger, body int64, sender time.Duration) *Callers {
-	return &Callers{entry: e, clock: clock, log: log, body: body, sender: sender}
+// New returns an API. maxBody bounds the body of a request in bytes, bodyTimeout the time to
+// receive it.
+func New(e *entry.Entry, clock core.Clock, log *zap.Logger, maxBody int64, bodyTimeout time.Duration) *API {
+	return &API{entry: e, clock: clock, log: log, maxBody: maxBody, bodyTimeout: bodyTimeout}
 }
 
-// Leave makes every answer ask its caller to close the connection, so that no
-// connection is in use when the listener closes.
-func (c *Callers) Leave() { c.leaving.Store(true) }
+// Leave makes the API set "Connection: close" on all further answers, so that no connection
+// is in use when the listener is closed.
+func (c *API) Leave() { c.leaving.Store(true) }
 
 // Server returns an HTTP server for callers.
-func (c *Callers) Server(maxHeader int) *http.Server {
+func (c *API) Server(maxHeader int) *http.Server {
 	return &http.Server{
 		Handler:           c.Handler(),
 		ReadHeaderTimeout: headerTimeout,
@@ -64,17 +64,17 @@
 	}
 }
 
-// Handler returns the routes.
-func (c *Callers) Handler() http.Handler {
+// Handler returns the handler of all routes.
+func (c *API) Handler() http.Handler {
 	r := chi.NewRouter()
-	r.Use(c.each)
-	r.Post("/v1/chat/completions", c.model)
-	r.Post("/v1/completions", c.model)
-	r.Get("/v1/models", c.models)
-	r.Get("/v1/entries", c.entries)
-	r.Get("/v1/requests/{id}", c.comeBack)
-	r.HandleFunc("/services/{service}/*", c.plain)
-	r.HandleFunc("/services/{service}", c.plain)
+	r.Use(c.traceRequests)
+	r.Post("/v1/chat/completions", c.serveModel)
+	r.Post("/v1/completions", c.serveModel)
+	r.Get("/v1/models", c.listModels)
+	r.Get("/v1/entries", c.listEntries)
+	r.Get("/v1/requests/{id}", c.reconnect)
+	r.HandleFunc("/services/{service}/*", c.servePlain)
+	r.HandleFunc("/services/{service}", c.servePlain)
 	r.NotFound(func(w http.ResponseWriter, _ *http.Request) {
 		writeError(w, core.NotRun(http.StatusNotFound, "unknown_path", "there is no such path", 0))
 	})
@@ -84,8 +84,8 @@
 	return r
 }
 
-// each traces a request and marks connections of a leaving daemon.
-func (c *Callers) each(next http.Handler) http.Handler {
+// traceRequests starts a span for each request, and closes the connections of a leaving daemon.
+func (c *API) traceRequests(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		ctx := otel.GetTextMapPropagator().Extract(r.Context(), propagation.HeaderCarrier(r.Header))
 		ctx, span := otel.Tracer("primroseward").Start(ctx, "entry", trace.WithSpanKind(trace.SpanKindServer))
@@ -97,7 +97,7 @@
 	})
 }
 
-// modelRequest is what routing needs of a request in OpenAI's form.
+// modelRequest has the fields of a request in the format of the OpenAI API that routing needs.
 type modelRequest struct {
 	Model    string          `json:"model"`
 	Stream   bool            `json:"stream"`
@@ -105,8 +105,9 @@
 	Prompt   json.RawMessage `json:"prompt"`
 }
 
-func (c *Callers) model(w http.ResponseWriter, r *http.Request) {
-	t, ok := c.tree(w)
+// serveModel serves a request for a model.
+func (c *API) serveModel(w http.ResponseWriter, r *http.Request) {
+	t, ok := c.settings(w)
 	if !ok {
 		return
 	}
@@ -119,38 +120,40 @@
 		writeError(w, core.NotRun(http.StatusBadRequest, "malformed_json", "body: "+err.Error(), 0))
 		return
 	}
-	a := &entry.Ask{Model: req.Model, Stream: req.Stream, Prefix: req.Messages, Service: r.Header.Get(core.HeaderService)}
-	if len(a.Prefix) == 0 {
-		a.Prefix = req.Prompt
+	q := &entry.Ask{Model: req.Model, Stream: req.Stream, Prefix: req.Messages, Service: r.Header.Get(core.HeaderService)}
+	if len(q.Prefix) == 0 {
+		q.Prefix = req.Prompt
 	}
-	if err := c.checkModel(t, a); err != nil {
+	if err := c.checkModel(t, q); err != nil {
 		writeError(w, err)
 		return
 	}
-	eff := t.Effective(tree.Coord{Service: a.Service, Model: a.Model})
-	a.Repeat = eff.Repeat
-	a.Path = r.URL.RequestURI()
-	c.serve(w, r, a, eff, body)
+	eff := t.Effective(tree.Coord{Service: q.Service, Model: q.Model})
+	q.Repeat = eff.Repeat
+	q.Path = r.URL.RequestURI()
+	c.serve(w, r, q, eff, body)
 }
 
-func (c *Callers) checkModel(t *tree.Tree, a *entry.Ask) error {
-	if a.Model == "" {
+// checkModel validates the model of a request, and sets the service if the request names none.
+func (c *API) checkModel(t *tree.Tree, q *entry.Ask) error {
+	if q.Model == "" {
 		return core.NotRun(http.StatusBadRequest, "model_missing", "model: must be set", 0)
 	}
-	if _, ok := t.Model(a.Model); !ok {
-		return core.NotRun(http.StatusNotFound, "unknown_model", fmt.Sprintf("model: %q is not served", a.Model), 0)
+	if _, ok := t.Model(q.Model); !ok {
+		return core.NotRun(http.StatusNotFound, "unknown_model", fmt.Sprintf("model: %q is not served", q.Model), 0)
 	}
-	if a.Service == "" {
-		a.Service = t.ServiceOf(a.Model)
+	if q.Service == "" {
+		q.Service = t.ServiceOf(q.Model)
 	}
-	if !t.Offers(a.Service, a.Model) {
-		return core.NotRun(http.StatusNotFound, "unknown_service", fmt.Sprintf("%s: service %q does not offer model %q", core.HeaderService, a.Service, a.Model), 0)
+	if !t.Offers(q.Service, q.Model) {
+		return core.NotRun(http.StatusNotFound, "unknown_service", fmt.Sprintf("%s: service %q does not offer model %q", core.HeaderService, q.Service, q.Model), 0)
 	}
 	return nil
 }
 
-func (c *Callers) plain(w http.ResponseWriter, r *http.Request) {
-	t, ok := c.tree(w)
+// servePlain serves a request to a plain service.
+func (c *API) servePlain(w http.ResponseWriter, r *http.Request) {
+	t, ok := c.settings(w)
 	if !ok {
 		return
 	}
@@ -169,66 +172,67 @@
 		path = "/"
 	}
 	eff := t.Effective(tree.Coord{Service: name})
-	a := &entry.Ask{Service: name, Path: path, Repeat: eff.Repeat && t.Repeatable(name, r.Method, path)}
+	q := &entry.Ask{Service: name, Path: path, Repeat: eff.Repeat && t.Repeatable(name, r.Method, path)}
 	if r.URL.RawQuery != "" {
-		a.Path += "?" + r.URL.RawQuery
+		q.Path += "?" + r.URL.RawQuery
 	}
-	c.serve(w, r, a, eff, body)
+	c.serve(w, r, q, eff, body)
 }
 
-// serve completes the request and passes its answer to the caller.
-func (c *Callers) serve(w http.ResponseWriter, r *http.Request, a *entry.Ask, eff *tree.Effective, body []byte) {
-	a.Method = r.Method
-	a.Body = body
-	a.Scope = scopeOf(r)
-	a.Key = r.Header.Get(core.HeaderIdempotencyKey)
-	a.Header = passOn(r.Header)
-	if err := c.complete(r, a, eff); err != nil {
+// serve runs the request and writes its answer to the caller.
+func (c *API) serve(w http.ResponseWriter, r *http.Request, q *entry.Ask, eff *tree.Effective, body []byte) {
+	q.Method = r.Method
+	q.Body = body
+	q.Scope = scopeOf(r)
+	q.Key = r.Header.Get(core.HeaderIdempotencyKey)
+	q.Header = forwardedHeader(r.Header)
+	if err := c.setMetadata(r, q, eff); err != nil {
 		writeError(w, err)
 		return
 	}
-	w.Header().Set(core.HeaderRequest, a.ID)
-	buf, err := c.entry.Begin(r.Context(), a)
+	w.Header().Set(core.HeaderRequest, q.ID)
+	buf, err := c.entry.Begin(r.Context(), q)
 	if err != nil {
 		writeError(w, err)
 		return
 	}
 	if writeAnswer(r.Context(), w, buf, 0) != nil {
-		c.entry.Leave(a)
+		c.entry.Leave(q)
 	}
 }
 
-// complete fills in the id, class and deadline.
-func (c *Callers) complete(r *http.Request, a *entry.Ask, eff *tree.Effective) error {
-	a.ID = r.Header.Get(core.HeaderRequest)
-	a.Returns = a.ID != "" || a.Key != ""
-	for name, v := range map[string]string{core.HeaderRequest: a.ID, core.HeaderIdempotencyKey: a.Key} {
+// setMetadata sets the id, class and deadline of a request.
+func (c *API) setMetadata(r *http.Request, q *entry.Ask, eff *tree.Effective) error {
+	q.ID = r.Header.Get(core.HeaderRequest)
+	q.Returns = q.ID != "" || q.Key != ""
+	for name, v := range map[string]string{core.HeaderRequest: q.ID, core.HeaderIdempotencyKey: q.Key} {
 		if !validID(v) {
 			return core.NotRun(http.StatusBadRequest, "bad_header", fmt.Sprintf("%s: want up to %d printable characters", name, maxID), 0)
 		}
 	}
-	if a.ID == "" {
-		a.ID = entry.NewID()
+	if q.ID == "" {
+		q.ID = entry.NewID()
 	}
 	class, err := classOf(r, eff)
 	if err != nil {
 		return err
 	}
-	a.Class = class
+	q.Class = class
 	limit := eff.Deadline
-	if text := r.Header.Get(headerTimeLim); text != "" {
-		own, err := time.ParseDuration(text)
-		if err != nil || own <= 0 {
-			return core.NotRun(http.StatusBadRequest, "bad_header", headerTimeLim+": want a duration such as 30s", 0)
+	if text := r.Header.Get(headerRequestTimeout); text != "" {
+		requested, err := time.ParseDuration(text)
+		if err != nil || requested <= 0 {
+			return core.NotRun(http.StatusBadRequest, "bad_header", headerRequestTimeout+": want a duration such as 30s", 0)
 		}
-		limit = min(limit, own)
+		limit = min(limit, requested)
 	}
-	a.Deadline = c.clock.Now().Add(limit)
+	q.Deadline = c.clock.Now().Add(limit)
 	return nil
 }
 
-// classOf returns the class that a request names, if the settings allow it:
-// where they name a class, a request may be less urgent but not more.
+// classOf returns the class that the request names, or that of the settings if the request
+// names none. If the settings name a class explicitly, the request may lower it but not raise
+// it.
 func classOf(r *http.Request, eff *tree.Effective) (core.Class, error) {
 	text := r.Header.Get(core.HeaderClass)
 	if text == "" {
@@ -256,21 +260,22 @@
 	return true
 }
 
-// scopeOf tells callers apart, so that nobody reaches another's answer by its
-// id.
+// scopeOf returns an identifier of the caller's credentials, so that no caller can read the
+// answer of another by its id.
 func scopeOf(r *http.Request) string {
 	return strconv.FormatUint(xxhash.Sum64String(r.Header.Get("Authorization")), 36)
 }
 
-// ownHeaders are for this system and are not passed on to endpoints. An
-// idempotency key is: endpoints may use it too.
+// ownHeaders are processed by this system and not forwarded to endpoints. The idempotency key
+// is forwarded, as endpoints may use it too.
 var ownHeaders = []string{
 	"Connection", "Keep-Alive", "Transfer-Encoding", "Te", "Trailer", "Upgrade", "Proxy-Connection", "Proxy-Authorization",
 	"Expect", "Content-Length", "Accept-Encoding", "Traceparent", "Tracestate",
-	core.HeaderRequest, core.HeaderClass, core.HeaderService, core.HeaderRequestID, headerTimeLim,
+	core.HeaderRequest, core.HeaderClass, core.HeaderService, core.HeaderRequestID, headerRequestTimeout,
 }
 
-func passOn(h http.Header) http.Header {
+// forwardedHeader returns the headers of a request that are forwarded to endpoints.
+func forwardedHeader(h http.Header) http.Header {
 	out := h.Clone()
 	for _, name := range strings.Split(h.Get("Connection"), ",") {
 		out.Del(strings.TrimSpace(name))
@@ -281,7 +286,8 @@
 	return out
 }
 
-func (c *Callers) tree(w http.ResponseWriter) (*tree.Tree, bool) {
+// settings returns the settings tree, or answers with an error if there is none yet.
+func (c *API) settings(w http.ResponseWriter) (*tree.Tree, bool) {
 	t := c.entry.Tree()
 	if t == nil {
 		writeError(w, core.NotRun(http.StatusServiceUnavailable, "starting", "there are no settings yet", time.Second))
@@ -289,12 +295,13 @@
 	return t, t != nil
 }
 
-// readBody reads a bounded body within a bounded time. A caller that stops
-// sending costs one goroutine for that time and nothing else.
-func (c *Callers) readBody(w http.ResponseWriter, r *http.Request) ([]byte, bool) {
+// readBody reads a request's body within the size limit and the timeout. It answers with an
+// error and returns false on failure. A caller that stops sending occupies one goroutine until
+// the timeout and no other resources.
+func (c *API) readBody(w http.ResponseWriter, r *http.Request) ([]byte, bool) {
 	control := http.NewResponseController(w)
-	_ = control.SetReadDeadline(time.Now().Add(c.sender))
-	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, c.body))
+	_ = control.SetReadDeadline(time.Now().Add(c.bodyTimeout))
+	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, c.maxBody))
 	_ = control.SetReadDeadline(time.Time{})
 	var tooLarge *http.MaxBytesError
 	var netErr net.Error
@@ -302,7 +309,7 @@
 	case err == nil:
 		return body, true
 	case errors.As(err, &tooLarge):
-		writeError(w, core.NotRun(http.StatusRequestEntityTooLarge, "body_too_large", fmt.Sprintf("body: over %d bytes", c.body), 0))
+		writeError(w, core.NotRun(http.StatusRequestEntityTooLarge, "body_too_large", fmt.Sprintf("body: over %d bytes", c.maxBody), 0))
 	case errors.As(err, &netErr) && netErr.Timeout():
 		w.Header().Set("Connection", "close")
 		writeError(w, core.NotRun(http.StatusRequestTimeout, "slow_sender", "body: not received in time", 0))
@@ -313,15 +320,16 @@
 	return nil, false
 }
 
-// modelItem is one model in OpenAI's form.
+// modelItem is a model in the format of the OpenAI API.
 type modelItem struct {
 	ID     string `json:"id"`
 	Object string `json:"object"`
 	Owner  string `json:"owned_by"`
 }
 
-func (c *Callers) models(w http.ResponseWriter, _ *http.Request) {
-	t, ok := c.tree(w)
+// listModels serves the list of models.
+func (c *API) listModels(w http.ResponseWriter, _ *http.Request) {
+	t, ok := c.settings(w)
 	if !ok {
 		return
 	}
@@ -332,8 +340,9 @@
 	writeJSON(w, http.StatusOK, map[string]any{"object": "list", "data": list})
 }
 
-func (c *Callers) entries(w http.ResponseWriter, r *http.Request) {
-	t, ok := c.tree(w)
+// listEntries serves the addresses of daemons that a caller may use.
+func (c *API) listEntries(w http.ResponseWriter, r *http.Request) {
+	t, ok := c.settings(w)
 	if !ok {
 		return
 	}
@@ -347,8 +356,8 @@
 	writeJSON(w, http.StatusOK, map[string]any{"entries": list, "life": entry.AddressLife.Seconds()})
 }
 
-// comeBack gives a caller the rest of an answer that it lost.
-func (c *Callers) comeBack(w http.ResponseWriter, r *http.Request) {
+// reconnect serves an answer from an offset to a caller that lost the connection.
+func (c *API) reconnect(w http.ResponseWriter, r *http.Request) {
 	id := chi.URLParam(r, "id")
 	offset, err := strconv.ParseInt(r.URL.Query().Get("offset"), 10, 64)
 	if r.URL.Query().Get("offset") == "" {
@@ -366,7 +375,7 @@
 		gone.Status = http.StatusGone
 		writeError(w, gone)
 	case errors.Is(err, core.ErrNotFound):
-		// Another daemon that lost its memory may have run it.
+		// Another daemon that has lost its state may have run the request.
 		unknown := core.MayHaveRun("unknown_request", "no answer is held under this id")
 		unknown.Status = http.StatusNotFound
 		writeError(w, unknown)
@@ -377,8 +386,8 @@
 	}
 }
 
-// find looks under the id as a request id, then as an idempotency key.
-func (c *Callers) find(ctx context.Context, scope, id string) (*answer.Buffer, error) {
+// find looks up an answer by id: first as a request id, then as an idempotency key.
+func (c *API) find(ctx context.Context, scope, id string) (*answer.Buffer, error) {
 	buf, err := c.entry.Return(ctx, scope, id)
 	if errors.Is(err, core.ErrNotFound) {
 		return c.entry.Return(ctx, scope, "key:"+id)
--- a/transport/rpc/handler.go
+++ b/transport/rpc/handler.go
@@ -1,5 +1,5 @@
-// Package rpc answers the calls of other daemons. It only reads messages and
-// hands them to the coordination layer.
+// Package rpc handles the calls of other daemons. It converts messages and calls the
+// coordination layer.
 package rpc
 
 import (
@@ -30,22 +30,23 @@
 	Dir     *directory.Directory
 	Clock   core.Clock
 	Planner Planner
-	// Messages takes in what other daemons say to the parts that daemons have in common.
-	Messages Messages
+	// Messages handles the messages for components that use a general message exchange
+	// instead of calls of their own, such as the quarantine.
+	Messages MessageHandler
 }
 
-// Messages takes in messages of other daemons.
-type Messages interface {
-	// Take returns the answer, nil if there is none. It fails with core.ErrNotFound for a
-	// sender or a kind that is not known.
-	Take(from, kind string, body []byte) ([]byte, error)
+// MessageHandler handles messages of other daemons.
+type MessageHandler interface {
+	// HandleMessage returns the reply, or nil if there is none. It fails with
+	// core.ErrNotFound if the sender or the kind is not known.
+	HandleMessage(from, kind string, body []byte) ([]byte, error)
 }
 
-// Planner is what a status says of the planner role.
+// Planner provides the state of the planner role for the status.
 type Planner interface {
-	// Active says whether this daemon plans now.
+	// Active reports whether this daemon plans now.
 	Active() bool
-	// Lacking returns which models cannot be placed, and why.
+	// Lacking returns the models that cannot be placed, each with the reason.
 	Lacking() []string
 }
 
@@ -56,15 +57,15 @@
 	empty       = connect.Response[peerv1.Empty]
 )
 
-func nothing() (*empty, error) { return connect.NewResponse(&peerv1.Empty{}), nil }
+func emptyReply() (*empty, error) { return connect.NewResponse(&peerv1.Empty{}), nil }
 
-// Dispatch runs one attempt.
+// Dispatch runs an attempt and streams its answer.
 func (h *Handler) Dispatch(ctx context.Context, req *connect.Request[peerv1.DispatchRequest], s *frameStream) error {
 	a := h.Owner.Dispatch(ctx, entry.DispatchFromWire(req.Msg, h.Clock.Now()))
 	return entry.SendFrames(ctx, a.Buffer, a.Attempt, 0, s.Send)
 }
 
-// Resume reads an attempt's answer again.
+// Resume streams the answer of an attempt again, from an offset.
 func (h *Handler) Resume(ctx context.Context, req *connect.Request[peerv1.ResumeRequest], s *frameStream) error {
 	a, err := h.Owner.Attempt(req.Msg.Attempt)
 	if err != nil {
@@ -73,13 +74,13 @@
 	return entry.SendFrames(ctx, a.Buffer, a.Attempt, req.Msg.Offset, s.Send)
 }
 
-// Cancel stops or bars an attempt.
+// Cancel stops an attempt, or prevents one that has not arrived yet.
 func (h *Handler) Cancel(_ context.Context, req *connect.Request[peerv1.CancelRequest]) (*connect.Response[peerv1.CancelReply], error) {
 	barred := h.Owner.Cancel(req.Msg.Attempt)
 	return connect.NewResponse(&peerv1.CancelReply{Barred: barred, Boot: h.Table.Self().Boot}), nil
 }
 
-// Fetch reads a held answer.
+// Fetch streams a stored answer.
 func (h *Handler) Fetch(ctx context.Context, req *connect.Request[peerv1.FetchRequest], s *frameStream) error {
 	buf, err := h.Entry.Held(req.Msg.Request)
 	if err != nil {
@@ -88,13 +89,13 @@
 	return entry.SendFrames(ctx, buf, "", req.Msg.Offset, s.Send)
 }
 
-// Point remembers which daemon took a request.
+// Point records which daemon accepted a request.
 func (h *Handler) Point(_ context.Context, req *connect.Request[peerv1.Pointer]) (*empty, error) {
 	h.Entry.Point(req.Msg.Request, req.Msg.Member)
-	return nothing()
+	return emptyReply()
 }
 
-// Find says which daemon took a request.
+// Find returns which daemon accepted a request.
 func (h *Handler) Find(_ context.Context, req *connect.Request[peerv1.FindRequest]) (*connect.Response[peerv1.Pointer], error) {
 	m, err := h.Entry.Find(req.Msg.Request)
 	if err != nil {
@@ -103,29 +104,29 @@
 	return connect.NewResponse(&peerv1.Pointer{Request: req.Msg.Request, Member: m}), nil
 }
 
-// Report takes in runners' reports.
+// Report adds reports of runners to the directory.
 func (h *Handler) Report(_ context.Context, req *connect.Request[peerv1.Reports]) (*empty, error) {
 	h.Dir.Put(entry.ReportsFromWire(req.Msg, h.Clock.Now()))
-	return nothing()
+	return emptyReply()
 }
 
-// Lookup says who serves a key.
+// Lookup returns the reports of the runners that serve a key.
 func (h *Handler) Lookup(_ context.Context, req *connect.Request[peerv1.LookupRequest]) (*connect.Response[peerv1.Reports], error) {
 	return connect.NewResponse(entry.ReportsToWire(h.Dir.Find(req.Msg.Key), h.Clock.Now())), nil
 }
 
-// Push takes in settings.
+// Push applies branches of the settings tree.
 func (h *Handler) Push(_ context.Context, req *connect.Request[peerv1.Branches]) (*empty, error) {
 	h.Spread.Take(spread.FromWire(req.Msg))
-	return nothing()
+	return emptyReply()
 }
 
-// Pull gives out settings.
+// Pull returns the branches of the settings tree that are newer than the caller's versions.
 func (h *Handler) Pull(_ context.Context, req *connect.Request[peerv1.Versions]) (*connect.Response[peerv1.Branches], error) {
 	return connect.NewResponse(h.Spread.Newer(req.Msg)), nil
 }
 
-// Sync exchanges whole member lists.
+// Sync merges a full member list and returns the local one.
 func (h *Handler) Sync(_ context.Context, req *connect.Request[peerv1.MemberList]) (*connect.Response[peerv1.MemberList], error) {
 	for _, w := range req.Msg.Members {
 		if m, err := member.FromWire(w); err == nil {
@@ -135,7 +136,7 @@
 	return connect.NewResponse(MembersToWire(h.Table.Whole())), nil
 }
 
-// MembersToWire makes the message of a member list.
+// MembersToWire converts a member list to its message.
 func MembersToWire(members []core.Member) *peerv1.MemberList {
 	out := &peerv1.MemberList{}
 	for _, m := range members {
@@ -144,13 +145,13 @@
 	return out
 }
 
-// Hold keeps an answer that a leaving daemon hands over.
+// Hold stores an answer that a leaving daemon hands over.
 func (h *Handler) Hold(_ context.Context, req *connect.Request[peerv1.HoldRequest]) (*empty, error) {
 	h.Entry.Take(req.Msg)
-	return nothing()
+	return emptyReply()
 }
 
-// Order changes what an owned runner holds.
+// Order proposes a load or an eviction to a runner that this daemon owns.
 func (h *Handler) Order(ctx context.Context, req *connect.Request[peerv1.OrderRequest]) (*connect.Response[peerv1.OrderReply], error) {
 	kind := core.OrderLoad
 	if req.Msg.Kind == peerv1.OrderKind_ORDER_EVICT {
@@ -164,7 +165,7 @@
 	return connect.NewResponse(reply), nil
 }
 
-// View gives out the runners owned here and the demand seen here.
+// View returns the runners that this daemon owns and the demand that it has measured.
 func (h *Handler) View(context.Context, *connect.Request[peerv1.Empty]) (*connect.Response[peerv1.Views], error) {
 	out := &peerv1.Views{Member: h.Table.Self().Name}
 	now := h.Clock.Now()
@@ -203,16 +204,16 @@
 	return w
 }
 
-// Message hands on a message of another daemon.
+// Message passes a message of another daemon to the message handler.
 func (h *Handler) Message(_ context.Context, req *connect.Request[peerv1.MessageRequest]) (*connect.Response[peerv1.MessageReply], error) {
-	body, err := h.Messages.Take(req.Msg.From, req.Msg.Kind, req.Msg.Body)
+	body, err := h.Messages.HandleMessage(req.Msg.From, req.Msg.Kind, req.Msg.Body)
 	if err != nil {
 		return nil, peer.Wrap(err)
 	}
 	return connect.NewResponse(&peerv1.MessageReply{Body: body}), nil
 }
 
-// Status says what is in force here.
+// Status returns the state of this daemon, including the versions of the settings in force.
 func (h *Handler) Status(context.Context, *connect.Request[peerv1.Empty]) (*connect.Response[peerv1.MemberStatus], error) {
 	out := &peerv1.MemberStatus{
 		Member:   member.ToWire(h.Table.Self()),
