--- a/services/tree/fleet.go
+++ b/services/tree/fleet.go
@@ -14,15 +14,15 @@
 	"primroseward/transport/peer"
 )
 
-// RunnerStatus is one runner's memory and work.
+// RunnerStatus is the memory and the load of a runner.
 type RunnerStatus struct {
 	Runner      string       `json:"runner"`
 	Place       string       `json:"place"`
 	Owner       string       `json:"owner"`
-	Capacity    int64        `json:"capacity"` // bytes for models
+	Capacity    int64        `json:"capacity"` // bytes of memory for models; the next four are in bytes too
 	Committed   int64        `json:"committed"`
-	Reserved    int64        `json:"reserved"`    // of it for loads under way
-	Quarantined int64        `json:"quarantined"` // of it until late orders are excluded
+	Reserved    int64        `json:"reserved"`    // part of Committed for loads in progress
+	Quarantined int64        `json:"quarantined"` // part of Committed kept until no late order can arrive
 	Free        int64        `json:"free"`
 	Running     int          `json:"running"`
 	Queued      int          `json:"queued"`
@@ -32,7 +32,7 @@
 	Models      []HeldStatus `json:"models,omitempty"`
 }
 
-// HeldStatus is one model version on a runner.
+// HeldStatus is a model version on a runner.
 type HeldStatus struct {
 	Model   string `json:"model"`
 	Version string `json:"version"`
@@ -42,31 +42,31 @@
 	Age     string `json:"age"`
 }
 
-// States of a model on a runner, as shown to operators.
+// The states of a model on a runner, as shown to operators.
 const (
 	StateReady    = "ready"
 	StateLoading  = "loading"
 	StateEvicting = "evicting"
 )
 
-// MoveStatus is one load or eviction under way.
+// MoveStatus is a load or an eviction in progress.
 type MoveStatus struct {
 	Runner string `json:"runner"`
 	HeldStatus
 }
 
-// Fleet asks all daemons for the runners that they own.
+// Fleet collects the runners from the daemons that own them.
 type Fleet struct {
 	members core.Members
 	dial    peer.Dial
 }
 
-// NewFleet makes a Fleet.
+// NewFleet returns a Fleet.
 func NewFleet(members core.Members, dial peer.Dial) *Fleet {
 	return &Fleet{members: members, dial: dial}
 }
 
-// Runners returns all runners that some daemon owns, sorted by name.
+// Runners returns the runners of all daemons that answer, sorted by name.
 func (f *Fleet) Runners(ctx context.Context) []RunnerStatus {
 	ctx, cancel := context.WithTimeout(ctx, statusTimeout)
 	defer cancel()
@@ -114,7 +114,7 @@
 	return r
 }
 
-// Moves returns all loads and evictions under way.
+// Moves returns all loads and evictions in progress.
 func (f *Fleet) Moves(ctx context.Context) ([]MoveStatus, error) {
 	out := []MoveStatus{}
 	for _, r := range f.Runners(ctx) {
--- a/services/tree/status.go
+++ b/services/tree/status.go
@@ -21,23 +21,23 @@
 	statusParallel = 32
 )
 
-// BranchStatus is one branch as accepted and as in force.
+// BranchStatus is the accepted version of a branch and the members where it is not in force.
 type BranchStatus struct {
 	Branch   string    `json:"branch"`
 	Accepted uint64    `json:"accepted"`
 	At       time.Time `json:"at"`
 	By       string    `json:"by,omitempty"`
-	Lagging  []string  `json:"lagging,omitempty"` // members with an older version
+	Lagging  []string  `json:"lagging,omitempty"` // members that have an older version
 }
 
-// MemberStatus is one daemon.
+// MemberStatus is the state of a daemon.
 type MemberStatus struct {
 	Name     string   `json:"name"`
 	Place    string   `json:"place"`
 	State    string   `json:"state"`
 	Reached  bool     `json:"reached"`
-	Behind   int      `json:"behind"` // branches not yet in force there
-	Fresh    string   `json:"fresh"`  // since its settings were confirmed
+	Behind   int      `json:"behind"` // number of branches that are not yet in force there
+	Fresh    string   `json:"fresh"`  // time since its settings were last confirmed
 	Running  int      `json:"running"`
 	Queued   int      `json:"queued"`
 	Held     int64    `json:"held"`
@@ -45,36 +45,36 @@
 	Relay    bool     `json:"relay,omitempty"`
 	Planner  bool     `json:"planner,omitempty"`
 	Problems []string `json:"problems,omitempty"`
-	// Versions is the version of each branch that the daemon has.
+	// Versions holds the version of each branch that the daemon has.
 	Versions map[string]uint64 `json:"versions,omitempty"`
 }
 
-// Status is the whole system as one daemon sees it.
+// Status is the state of the whole system as one daemon sees it.
 type Status struct {
-	Platform bool           `json:"platform"` // answers
-	InForce  bool           `json:"in_force"` // accepted is in force at every live member
+	Platform bool           `json:"platform"` // the platform answers
+	InForce  bool           `json:"in_force"` // the accepted versions are in force at every live member
 	Branches []BranchStatus `json:"branches"`
 	Members  []MemberStatus `json:"members"`
 	Problems []string       `json:"problems,omitempty"`
 }
 
-// Statuses asks all daemons for their state.
+// Statuses collects the state of all daemons.
 type Statuses struct {
 	service *Service
 	members core.Members
 	dial    peer.Dial
 }
 
-// NewStatuses makes a Statuses.
+// NewStatuses returns a Statuses.
 func NewStatuses(s *Service, members core.Members, dial peer.Dial) *Statuses {
 	return &Statuses{service: s, members: members, dial: dial}
 }
 
-// Status collects the state of the whole system.
+// Status returns the state of the whole system.
 func (s *Statuses) Status(ctx context.Context) Status {
 	ctx, cancel := context.WithTimeout(ctx, 2*statusTimeout)
 	defer cancel()
-	replies := s.ask(ctx)
+	replies := s.collect(ctx)
 	accepted, ok := s.accepted(ctx, replies)
 	out := Status{Platform: ok, InForce: true}
 	behind := map[string]int{}
@@ -99,7 +99,8 @@
 	return out
 }
 
-func (s *Statuses) ask(ctx context.Context) map[string]*peerv1.MemberStatus {
+// collect requests the status of each member; it is nil for a member that does not answer.
+func (s *Statuses) collect(ctx context.Context) map[string]*peerv1.MemberStatus {
 	var mu sync.Mutex
 	var wg sync.WaitGroup
 	slots := make(chan struct{}, statusParallel)
@@ -125,8 +126,8 @@
 	return out
 }
 
-// Accepted returns the branches as the platform has them, sorted; ok is false while
-// it does not answer.
+// Accepted returns the branches as the platform has them, sorted by name. ok is false if the
+// platform does not answer.
 func (s *Service) Accepted(ctx context.Context) (branches []BranchStatus, ok bool) {
 	objects, _, err := s.platform.List(ctx, core.KindTree)
 	if err != nil {
@@ -144,8 +145,8 @@
 	return out, true
 }
 
-// accepted returns the branches as the platform has them or, while it is down,
-// the newest that any daemon has.
+// accepted returns the branches as the platform has them or, while the platform is down, the
+// newest version that any daemon has.
 func (s *Statuses) accepted(ctx context.Context, replies map[string]*peerv1.MemberStatus) ([]BranchStatus, bool) {
 	stored, ok := s.service.Accepted(ctx)
 	newest := map[string]BranchStatus{}
@@ -169,6 +170,7 @@
 	return out, ok
 }
 
+// versionOf returns the version of a branch at a member, or 0 if it has none.
 func versionOf(r *peerv1.MemberStatus, branch string) uint64 {
 	for _, v := range r.Versions {
 		if v.Branch == branch {
--- a/services/tree/tree.go
+++ b/services/tree/tree.go
@@ -1,4 +1,4 @@
-// Package tree is the work behind the operators' calls on the settings tree.
+// Package tree implements the operators' calls on the settings tree and on the system's status.
 package tree
 
 import (
@@ -15,7 +15,7 @@
 	"primroseward/state/tree"
 )
 
-// Service edits and reads the tree.
+// Service edits and reads the settings tree.
 type Service struct {
 	replica  *tree.Replica
 	platform core.Platform
@@ -24,21 +24,21 @@
 	offered  func(kind, name string) bool
 }
 
-// Taker takes in the branches that an edit has written.
+// Taker applies the branches that an edit has written.
 type Taker interface {
 	Take([]tree.Branch)
 }
 
-// Option changes a Service.
+// Option configures a Service.
 type Option func(*Service)
 
-// WithOffered is for a tree over a configuration: offered says whether that one
-// describes a service or a model.
+// WithOffered sets the function that reports whether the configuration below the tree describes
+// a service or a model.
 func WithOffered(offered func(kind, name string) bool) Option {
 	return func(s *Service) { s.offered = offered }
 }
 
-// New makes a Service.
+// New returns a Service.
 func New(replica *tree.Replica, platform core.Platform, taker Taker, clock core.Clock, opts ...Option) *Service {
 	s := &Service{replica: replica, platform: platform, taker: taker, clock: clock, offered: func(string, string) bool { return false }}
 	for _, o := range opts {
@@ -47,32 +47,32 @@
 	return s
 }
 
-// Got is a node as read.
+// Got is a node of the tree as it was read or written.
 type Got struct {
 	Path    string      `json:"path"`
 	Branch  string      `json:"branch"`
 	Version uint64      `json:"version"`
 	Node    *tree.Node  `json:"node"`
 	Log     []tree.Edit `json:"log,omitempty"`
-	// Stale is set when the platform could not be asked and the node is what
-	// is in force at the daemon that answers.
+	// Stale is set if the platform is unavailable and the node is the one in force at the
+	// daemon that answers.
 	Stale bool `json:"stale,omitempty"`
 }
 
 // Versions returns the version of each branch at this daemon.
 func (s *Service) Versions() map[string]uint64 { return s.replica.Versions() }
 
-// Edit is a change that an operator asks for. A nil node deletes the path.
+// Edit is a change that an operator requests. A nil node deletes the path.
 type Edit struct {
 	Path    string
-	Version uint64 // of the branch that the operator read; 0: it must not exist
+	Version uint64 // of the branch that the operator has read; 0: the branch must not exist
 	Node    *tree.Node
 	By      string
 	Note    string
 }
 
-// Lost is the error of an edit whose version was not the newest: it shows what
-// the winner wrote. It matches core.ErrConflict.
+// Lost is the error of an edit whose version was not the newest. It contains what the competing
+// edit has written. It matches core.ErrConflict.
 type Lost struct {
 	Winner Got
 }
@@ -96,7 +96,7 @@
 	return p, nil
 }
 
-// Get reads a node from the platform, or from memory while it is down.
+// Get reads a node from the platform or, while the platform is unavailable, from memory.
 func (s *Service) Get(ctx context.Context, path string) (Got, error) {
 	p, err := parsePath(path)
 	if err != nil {
@@ -104,7 +104,7 @@
 	}
 	got, stored, err := s.read(ctx, p)
 	if errors.Is(err, core.ErrUnavailable) {
-		return s.getHeld(p)
+		return s.getLocal(p)
 	}
 	if err != nil {
 		return Got{}, err
@@ -115,7 +115,8 @@
 	return got, nil
 }
 
-func (s *Service) getHeld(p tree.Path) (Got, error) {
+// getLocal reads a node from this daemon's replica of the tree.
+func (s *Service) getLocal(p tree.Path) (Got, error) {
 	branch := p.Branch()
 	got := Got{Path: p.String(), Branch: branch, Version: s.replica.Versions()[branch], Log: s.replica.Log(branch), Stale: true}
 	if got.Node = find(s.replica.Nodes()[branch], p); got.Node == nil {
@@ -124,7 +125,7 @@
 	return got, nil
 }
 
-// find returns the node of a path in its branch.
+// find returns the node at a path in its branch.
 func find(branch *tree.Node, p tree.Path) *tree.Node {
 	if len(p) == 0 {
 		return branch
@@ -147,18 +148,18 @@
 	return got, stored, nil
 }
 
-// Set carries out an edit and returns the branch's new version.
+// Set makes an edit and returns the branch's new version.
 func (s *Service) Set(ctx context.Context, e Edit) (Got, error) {
 	p, err := parsePath(e.Path)
 	if err != nil {
 		return Got{}, err
 	}
-	o, stored, err := s.forEdit(ctx, p)
+	o, stored, err := s.readForEdit(ctx, p)
 	if err != nil {
 		return Got{}, err
 	}
 	if o.Version != e.Version {
-		return Got{}, s.lost(p, o, stored)
+		return Got{}, s.conflict(p, o, stored)
 	}
 	next, err := s.apply(p, stored, e)
 	if err != nil {
@@ -167,9 +168,9 @@
 	return s.write(ctx, p, o, next)
 }
 
-// forEdit reads a branch as it is stored; a branch that is missing or that
-// cannot be read by this version is begun anew.
-func (s *Service) forEdit(ctx context.Context, p tree.Path) (core.Object, *tree.Stored, error) {
+// readForEdit reads a branch as it is stored. It returns an empty branch if the stored one is
+// missing or cannot be read by this version of the daemon.
+func (s *Service) readForEdit(ctx context.Context, p tree.Path) (core.Object, *tree.Stored, error) {
 	name := tree.ObjectName(p.Branch())
 	o, err := s.platform.Get(ctx, core.KindTree, name)
 	if errors.Is(err, core.ErrNotFound) {
@@ -185,22 +186,22 @@
 	return o, stored, nil
 }
 
-// apply changes the branch and refuses what would break the tree. Faults that
-// were there before do not stop an edit elsewhere.
+// apply applies an edit to a branch, and refuses it if it introduces problems into the tree.
+// Problems that existed before do not prevent an edit elsewhere.
 func (s *Service) apply(p tree.Path, stored *tree.Stored, e Edit) (*tree.Stored, error) {
 	node, err := replace(stored.Node, p, e.Node)
 	if err != nil {
 		return nil, err
 	}
 	if node == nil {
-		return nil, eris.Wrap(core.ErrInvalid, "a top branch is emptied, not deleted: set it to {}")
+		return nil, eris.Wrap(core.ErrInvalid, "a top-level branch cannot be deleted; set it to {} to empty it")
 	}
 	nodes := s.replica.Nodes()
 	before := tree.Check(nodes, tree.WithOffered(s.offered))
 	nodes = maps.Clone(nodes)
 	nodes[p.Branch()] = node
-	if fresh := newProblems(before, tree.Check(nodes, tree.WithOffered(s.offered))); len(fresh) > 0 {
-		return nil, fresh
+	if added := newProblems(before, tree.Check(nodes, tree.WithOffered(s.offered))); len(added) > 0 {
+		return nil, added
 	}
 	next := &tree.Stored{Node: node, Log: stored.Log}
 	next.Add(tree.Edit{At: s.clock.Now().UTC(), By: e.By, Path: p.String(), Note: e.Note})
@@ -253,34 +254,34 @@
 		return Got{}, eris.Wrap(core.ErrInvalid, err.Error())
 	}
 	o.Body = body
-	var done core.Object
+	var written core.Object
 	if o.Version == 0 {
-		done, err = s.platform.Create(ctx, o)
+		written, err = s.platform.Create(ctx, o)
 	} else {
-		done, err = s.platform.Update(ctx, o)
+		written, err = s.platform.Update(ctx, o)
 	}
 	switch {
 	case errors.Is(err, core.ErrOvertaken):
-		// Written, and then written over by a later edit, which is what counts.
+		// The edit was written, and a later edit has already overwritten it.
 	case errors.Is(err, core.ErrConflict), errors.Is(err, core.ErrExists):
-		now, stored, readErr := s.forEdit(ctx, p)
+		newest, stored, readErr := s.readForEdit(ctx, p)
 		if readErr != nil {
 			return Got{}, err
 		}
-		return Got{}, s.lost(p, now, stored)
+		return Got{}, s.conflict(p, newest, stored)
 	case err != nil:
 		return Got{}, err
 	}
-	s.taker.Take([]tree.Branch{{Name: p.Branch(), Version: done.Version, Body: done.Body}})
-	return Got{Path: p.String(), Branch: p.Branch(), Version: done.Version, Node: find(next.Node, p), Log: next.Log}, nil
+	s.taker.Take([]tree.Branch{{Name: p.Branch(), Version: written.Version, Body: written.Body}})
+	return Got{Path: p.String(), Branch: p.Branch(), Version: written.Version, Node: find(next.Node, p), Log: next.Log}, nil
 }
 
-func (s *Service) lost(p tree.Path, o core.Object, stored *tree.Stored) error {
+func (s *Service) conflict(p tree.Path, o core.Object, stored *tree.Stored) error {
 	return &Lost{Winner: Got{Path: p.String(), Branch: p.Branch(), Version: o.Version, Node: find(stored.Node, p), Log: stored.Log}}
 }
 
-// Apply writes a whole tree, branch by branch, the root first. Branches that
-// are equal to what is stored are left alone.
+// Apply writes a whole tree, branch by branch, starting with the root. Branches that equal the
+// stored ones are not written.
 func (s *Service) Apply(ctx context.Context, root *tree.Node, by string) ([]Got, error) {
 	branches := tree.Split(root)
 	if problems := tree.Check(branches, tree.WithOffered(s.offered)); len(problems) > 0 {
@@ -290,7 +291,7 @@
 	for _, name := range tree.Order(branches) {
 		got, err := s.applyBranch(ctx, name, branches[name], by)
 		if err != nil {
-			return out, eris.Wrapf(err, "branch %s (%d branches are written)", name, len(out))
+			return out, eris.Wrapf(err, "branch %s (%d branches were written before)", name, len(out))
 		}
 		if got.Version > 0 {
 			out = append(out, got)
@@ -304,13 +305,13 @@
 	if err != nil {
 		return Got{}, err
 	}
-	o, stored, err := s.forEdit(ctx, p)
+	o, stored, err := s.readForEdit(ctx, p)
 	if err != nil {
 		return Got{}, err
 	}
-	was, _ := json.Marshal(stored.Node)
-	want, _ := json.Marshal(node)
-	if o.Version > 0 && string(was) == string(want) {
+	old, _ := json.Marshal(stored.Node)
+	wanted, _ := json.Marshal(node)
+	if o.Version > 0 && string(old) == string(wanted) {
 		return Got{}, nil
 	}
 	next := &tree.Stored{Node: node, Log: stored.Log}
@@ -318,17 +319,17 @@
 	return s.write(ctx, p, o, next)
 }
 
-// Explained is the settings in force for a coordinate, at one daemon.
+// Explained holds the settings in force for a selector, at one daemon.
 type Explained struct {
 	Service string            `json:"service,omitempty"`
 	Model   string            `json:"model,omitempty"`
 	Place   string            `json:"place,omitempty"`
 	Allowed bool              `json:"allowed"`
 	Values  map[string]any    `json:"values"`
-	Origin  map[string]string `json:"origin"` // field to path; missing: default
+	Origin  map[string]string `json:"origin"` // field to path of the node that sets it; missing: default
 }
 
-// Explain says what is in force here and where it comes from.
+// Explain returns the settings in force for a selector, and for each the node that sets it.
 func (s *Service) Explain(c tree.Coord) (Explained, error) {
 	t := s.replica.Tree()
 	if t == nil {
@@ -348,7 +349,7 @@
 	e := t.Effective(c)
 	out := Explained{Service: c.Service, Model: c.Model, Place: c.Place, Allowed: c.Place == "" || e.Allows(c.Place), Origin: e.Origin}
 	out.Values = map[string]any{
-		"places":      placesOf(e),
+		"places":      dataCentresOf(e),
 		"concurrency": e.Concurrency,
 		"rate":        e.Rate,
 		"body":        core.Bytes(e.Body),
@@ -366,7 +367,7 @@
 	return out, nil
 }
 
-func placesOf(e *tree.Effective) any {
+func dataCentresOf(e *tree.Effective) any {
 	if e.AnyPlace {
 		return "any"
 	}
