--- a/services/daemon/daemon.go
+++ b/services/daemon/daemon.go
@@ -53,11 +53,11 @@
 
 // Daemon is one running primrosed.
 type Daemon struct {
-	set     *setting.Setting
-	log     *zap.Logger
-	clock   core.Clock
-	metrics *observe.Metrics
-	traces  func(context.Context) error
+	set         *setting.Setting
+	log         *zap.Logger
+	clock       core.Clock
+	metrics     *observe.Metrics
+	stopTracing func(context.Context) error
 
 	callBytes  peer.ByteCounter // counts the bytes of calls between daemons
 	pool       *peer.Pool
@@ -85,7 +85,7 @@
 func New(set *setting.Setting, log *zap.Logger) (*Daemon, error) {
 	d := &Daemon{set: set, log: log.With(zap.String("member", set.Name)), clock: clockwork.NewRealClock(), addressTTL: entry.AddressLife}
 	var err error
-	if d.traces, err = observe.StartTraces(set); err != nil {
+	if d.stopTracing, err = observe.StartTraces(set); err != nil {
 		return nil, err
 	}
 	d.metrics = observe.NewMetrics()
@@ -213,22 +213,22 @@
 	}
 	admins := &http.Server{Handler: operators.Handler(), ReadHeaderTimeout: adminHeaderTimeout}
 	callers := d.api.Server(int(d.set.Limits.Header))
-	for _, one := range []struct {
+	for _, l := range []struct {
 		name   string
 		addr   netip.AddrPort
 		server *http.Server
 	}{{"peer", d.set.PeerAddr, peers}, {"admin", d.set.AdminAddr, admins}, {"caller", d.set.CallerAddr, callers}} {
-		tcp, err := net.ListenTCP("tcp", net.TCPAddrFromAddrPort(one.addr))
+		tcp, err := net.ListenTCP("tcp", net.TCPAddrFromAddrPort(l.addr))
 		if err != nil {
-			return eris.Wrap(err, one.name)
+			return eris.Wrap(err, l.name)
 		}
 		var ln net.Listener = tcp
-		if one.server == peers {
+		if l.server == peers {
 			ln = peer.NewCountingListener(tcp, d.callBytes)
 		}
-		d.servers = append(d.servers, one.server)
+		d.servers = append(d.servers, l.server)
 		d.wg.Add(1)
-		go d.runServer(one.server, ln)
+		go d.runServer(l.server, ln)
 	}
 	return nil
 }
@@ -262,7 +262,7 @@
 	}
 }
 
-// Start starts the components. The listeners are open since New.
+// Start starts the components. The listeners have been open since New.
 func (d *Daemon) Start() {
 	gauges, stop := context.WithCancel(context.Background())
 	d.stopGauges = stop
@@ -321,7 +321,7 @@
 	d.stopGauges()
 	d.wg.Wait()
 	d.pool.Close()
-	_ = d.traces(context.WithoutCancel(ctx))
+	_ = d.stopTracing(context.WithoutCancel(ctx))
 	d.log.Info("stopped")
 }
 
--- a/services/daemon/network.go
+++ b/services/daemon/network.go
@@ -129,7 +129,7 @@
 func (n *network) Ask(ctx context.Context, to peers.Peer, kind string, request, out any, resend time.Duration) error {
 	data, err := json.Marshal(request)
 	if err != nil {
-		return eris.Wrap(err, "request")
+		return eris.Wrap(err, "question")
 	}
 	for {
 		reply, err := n.call(ctx, to, kind, data)
--- a/services/fleet/admin.go
+++ b/services/fleet/admin.go
@@ -135,12 +135,12 @@
 	engine := config.Services[e.Service].Engine
 	out.Capacity = megabytes(engine.MemoryMB)
 	for _, h := range e.Holdings {
-		held := service.HeldStatus{Model: h.Model, Version: strconv.Itoa(h.Version), State: service.StateReady, Age: "-"}
+		model := service.HeldStatus{Model: h.Model, Version: strconv.Itoa(h.Version), State: service.StateReady, Age: "-"}
 		if spec := engine.Model(h.Model); spec != nil {
-			held.Bytes = megabytes(spec.MemoryMB + float64(len(h.Adapters))*spec.AdapterMB)
+			model.Bytes = megabytes(spec.MemoryMB + float64(len(h.Adapters))*spec.AdapterMB)
 		}
-		out.Committed += held.Bytes
-		out.Models = append(out.Models, held)
+		out.Committed += model.Bytes
+		out.Models = append(out.Models, model)
 	}
 	out.Free = out.Capacity - out.Committed
 	return out
--- a/services/fleet/copy.go
+++ b/services/fleet/copy.go
@@ -119,7 +119,7 @@
 	target := url.URL{Scheme: "http", Host: p.Peer.String(), Path: pathSnapshot + kind, RawQuery: query.Encode()}
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, target.String(), nil)
 	if err != nil {
-		return watch.Copy{}, eris.Wrap(err, "snapshot")
+		return watch.Copy{}, eris.Wrap(err, "copy")
 	}
 	resp, err := d.client.Do(req)
 	if err != nil {
--- a/services/fleet/duties.go
+++ b/services/fleet/duties.go
@@ -56,9 +56,11 @@
 	return p.Alive && p.Ready && !p.Leaving && (failing || !p.Failing)
 }
 
-// shouldReadStore reports whether this daemon should read the store itself, given the time
-// since its start. It should at once if it is one of the startReaders highest-ranking daemons
-// that are known. Daemons that the store lists but that have not sent anything yet are
+// shouldReadStore reports whether a starting daemon should read the store itself, given the
+// time since its start. If another daemon is ready, it should only after snapshotWait, as it can
+// fetch that daemon's snapshot; until the store has listed the daemons, only after discoveryWait.
+// Otherwise it should at once if it is one of the startReaders highest-ranking known daemons, or
+// else after the start wait. Daemons that the store lists but that have not sent anything yet are
 // included in the ranking, as all daemons may start at the same time.
 func (d *Daemon) shouldReadStore(since time.Duration) bool {
 	if _, ok := d.selectPeer(); ok {
--- a/services/fleet/fleet.go
+++ b/services/fleet/fleet.go
@@ -94,12 +94,12 @@
 
 // Daemon is one running primrosed.
 type Daemon struct {
-	set     *setting.Setting
-	clock   core.Clock
-	log     *zap.Logger
-	metrics *observe.Metrics
-	scope   tally.Scope
-	traces  func(context.Context) error
+	set         *setting.Setting
+	clock       core.Clock
+	log         *zap.Logger
+	metrics     *observe.Metrics
+	scope       tally.Scope
+	stopTracing func(context.Context) error
 
 	store      *platform.Client
 	settings   *tree.Replica
@@ -137,7 +137,7 @@
 	d.current.Store(set.Fleet)
 	d.started = d.clock.Now()
 	var err error
-	if d.traces, err = observe.StartTraces(set); err != nil {
+	if d.stopTracing, err = observe.StartTraces(set); err != nil {
 		return nil, eris.Wrap(err, "traces")
 	}
 	udp, err := net.ListenUDP("udp", net.UDPAddrFromAddrPort(set.PeerAddr))
@@ -214,12 +214,12 @@
 // runnerRestarted handles the restart of a runner under the same id. It discards the state
 // that is kept of the runner before anything else is sent there, and ends the requests that
 // were sent to the former instance, as it will not answer them.
-func (d *Daemon) runnerRestarted(was core.Runner) {
-	d.log.Info(logs.RunnerRestarted, zap.String("runner", was.ID), zap.String("service", was.Service), zap.Time("former", was.Born))
-	d.runners.Forget(was.ID)
-	d.loads.Restarted(was.ID)
-	d.limits.Forget(was.ID)
-	d.dispatcher.Restarted(was.ID)
+func (d *Daemon) runnerRestarted(former core.Runner) {
+	d.log.Info(logs.RunnerRestarted, zap.String("runner", former.ID), zap.String("service", former.Service), zap.Time("former", former.Born))
+	d.runners.Forget(former.ID)
+	d.loads.Restarted(former.ID)
+	d.limits.Forget(former.ID)
+	d.dispatcher.Restarted(former.ID)
 }
 
 // listen opens the listeners.
@@ -234,7 +234,7 @@
 	resolve.Handle("GET "+platform.PathDirectory, dir)
 	ready := http.NewServeMux()
 	ready.HandleFunc("GET "+platform.PathReady, dir.ServeReady)
-	for _, one := range []struct {
+	for _, l := range []struct {
 		name   string
 		addr   netip.AddrPort
 		server *http.Server
@@ -245,13 +245,13 @@
 		{"peer", d.set.PeerAddr, &http.Server{Handler: d.snapshotHandler(), ReadHeaderTimeout: time.Second}},
 		{"admin", d.set.AdminAddr, &http.Server{Handler: d.admin().Handler(), ReadHeaderTimeout: time.Second}},
 	} {
-		ln, err := net.ListenTCP("tcp", net.TCPAddrFromAddrPort(one.addr))
+		ln, err := net.ListenTCP("tcp", net.TCPAddrFromAddrPort(l.addr))
 		if err != nil {
-			return eris.Wrap(err, one.name)
+			return eris.Wrap(err, l.name)
 		}
-		d.servers = append(d.servers, one.server)
+		d.servers = append(d.servers, l.server)
 		d.wg.Add(1)
-		go d.runServer(one.server, ln)
+		go d.runServer(l.server, ln)
 	}
 	return nil
 }
@@ -271,7 +271,7 @@
 }
 
 // keysConfirmed reports whether the known callers' keys may be used now. The configuration
-// comes from the store together with the operators' settings, so the age of the settings
+// comes from the store in the same way as the operators' settings, so the age of the settings
 // applies to it as well.
 func (d *Daemon) keysConfirmed() bool {
 	keys := d.current.Load().Keys
@@ -310,7 +310,7 @@
 // serving returns the number of daemons that share the callers.
 func (d *Daemon) serving() int { return d.peers.Count() }
 
-// Start starts the components. The listeners are open since New.
+// Start starts the components. The listeners have been open since New.
 func (d *Daemon) Start() {
 	d.peers.Start()
 	d.watcher.Start()
@@ -401,7 +401,7 @@
 	}
 	d.peers.Stop()
 	d.wg.Wait()
-	if err := d.traces(context.WithoutCancel(ctx)); err != nil {
+	if err := d.stopTracing(context.WithoutCancel(ctx)); err != nil {
 		d.log.Warn(logs.TracesUnsent, logs.Err(err))
 	}
 }
--- a/services/fleet/limits.go
+++ b/services/fleet/limits.go
@@ -36,9 +36,9 @@
 	return out
 }
 
-// peerUsage applies how much the other daemons use of them. reachable is the
-// number of daemons that are reachable, including this one, and known the number that there
-// may be, or 0 while that is not known.
+// peerUsage applies how much the other daemons use of them. reachable is the number of
+// reachable daemons, including this one, and known the number that there may be, or 0 while
+// that is not known.
 func (d *Daemon) peerUsage(reachable, known int, others map[core.Code]core.Usage) {
 	d.allowances.Heard(reachable, known, others)
 	d.limits.Heard(reachable, known, others)
--- a/services/holds/holds.go
+++ b/services/holds/holds.go
@@ -20,13 +20,13 @@
 type Status struct {
 	Digest  core.Digest `json:"digest"`
 	State   hold.State  `json:"state"`
-	By      hold.By     `json:"by,omitempty"` // who released it
+	By      hold.By     `json:"by,omitempty"` // what released it
 	Route   string      `json:"route"`
 	Service string      `json:"service"`
-	Runners int         `json:"runners"` // that exited under it
+	Runners int         `json:"runners"` // number of runners that exited under it
 	Since   time.Time   `json:"since"`
-	Left    string      `json:"left"`  // until a trial is allowed
-	Times   int         `json:"times"` // that it was put on hold
+	Left    string      `json:"left"`  // time until a trial is allowed
+	Times   int         `json:"times"` // number of times that it was put on hold
 }
 
 // List returns the status of the records, the most recent first.
@@ -43,9 +43,9 @@
 	return out
 }
 
-// ErrNotHeld is the error for the release of a request that is not on hold. It wraps
+// ErrNotOnHold is the error for the release of a request that is not on hold. It wraps
 // core.ErrNotFound.
-var ErrNotHeld = eris.Wrap(core.ErrNotFound, "the request is not on hold")
+var ErrNotOnHold = eris.Wrap(core.ErrNotFound, "the request is not on hold")
 
 // Quarantine provides the holds of a daemon.
 type Quarantine interface {
@@ -68,10 +68,10 @@
 	return List(t.quarantine.Records(), t.clock.Now()), nil
 }
 
-// Release ends the hold of a request. It returns ErrNotHeld if there is none.
+// Release ends the hold of a request. It returns ErrNotOnHold if there is none.
 func (t *Table) Release(_ context.Context, d core.Digest) error {
 	if !t.quarantine.Release(d) {
-		return ErrNotHeld
+		return ErrNotOnHold
 	}
 	return nil
 }
@@ -104,7 +104,7 @@
 	return List(records, now), nil
 }
 
-// Release ends the hold of a request. It returns ErrNotHeld if the record is not on hold, and
+// Release ends the hold of a request. It returns ErrNotOnHold if the record is not on hold, and
 // core.ErrNotFound if there is no record.
 func (s *Store) Release(ctx context.Context, d core.Digest) error {
 	o, err := s.store.Get(ctx, core.KindHolds, d.String())
@@ -117,7 +117,7 @@
 		return err
 	}
 	if r.State != hold.StateHeld {
-		return ErrNotHeld
+		return ErrNotOnHold
 	}
 	r.Release(hold.ByOperator, now)
 	if o.Body, err = hold.Encode(r, now); err != nil {
--- a/services/holds/holds_test.go
+++ b/services/holds/holds_test.go
@@ -41,5 +41,5 @@
 	got, err := hold.Stored(o.Body, clock.Now())
 	assert.NilError(t, err)
 	assert.Equal(t, got.Version, uint64(4))
-	assert.Assert(t, errors.Is(s.Release(ctx, d), ErrNotHeld))
+	assert.Assert(t, errors.Is(s.Release(ctx, d), ErrNotOnHold))
 }
--- a/services/limits/limits.go
+++ b/services/limits/limits.go
@@ -20,7 +20,7 @@
 	Refused int64   `json:"refused"` // number of requests that this daemon has refused
 	From    string  `json:"from"`    // the daemon that read the limit from the runner's answer; empty: this one
 	Heard   float64 `json:"heard"`   // age of that answer in seconds
-	Age     float64 `json:"age"`     // age in seconds of the other daemons' reports of what they send
+	Age     float64 `json:"age"`     // seconds since the other daemons last sent their request counts
 }
 
 // List returns the status of the limits, sorted by name.
--- a/services/workspaces/workspaces.go
+++ b/services/workspaces/workspaces.go
@@ -27,7 +27,7 @@
 	Left    float64  `json:"left"`    // units that may be accepted at once
 	Share   float64  `json:"share"`   // share of the allowance that the reachable daemons have
 	Refused int64    `json:"refused"` // requests that this daemon has refused since it started
-	Age     string   `json:"age"`     // of the other daemons' reports of usage
+	Age     string   `json:"age"`     // time since the other daemons last sent their usage
 	Problem bool     `json:"problem"` // its allowance could not be read: all requests are refused
 }
 
@@ -43,15 +43,15 @@
 	out := make([]Status, 0, len(of))
 	for _, w := range of {
 		s := known[w.Name]
-		one := Status{
+		status := Status{
 			Name: w.Name, Unit: units[w.Unit], Rate: w.Rate, Burst: w.Burst, Keys: make([]string, 0, len(w.Keys)),
 			Asked: math.Round(s.Asked), Spent: math.Round(s.Spent), Left: math.Round(s.Left), Share: s.Share, Refused: s.Refused,
 			Age: s.Age.Round(ageResolution).String(), Problem: w.Invalid,
 		}
 		for _, k := range w.Keys {
-			one.Keys = append(one.Keys, k.String())
+			status.Keys = append(status.Keys, k.String())
 		}
-		out = append(out, one)
+		out = append(out, status)
 	}
 	slices.SortFunc(out, func(a, b Status) int {
 		return cmp.Or(cmp.Compare(b.Asked*max(1, a.Rate), a.Asked*max(1, b.Rate)), cmp.Compare(a.Name, b.Name))
--- a/transport/admin/admin.go
+++ b/transport/admin/admin.go
@@ -247,8 +247,8 @@
 	switch {
 	case errors.As(err, &problems):
 		p.Error = "the settings are refused"
-		for _, one := range problems {
-			p.Problems = append(p.Problems, one.Path+": "+one.Text)
+		for _, problem := range problems {
+			p.Problems = append(p.Problems, problem.Path+": "+problem.Text)
 		}
 		reply(w, http.StatusUnprocessableEntity, p)
 	case errors.As(err, &lost):
--- a/transport/admin/admin_test.go
+++ b/transport/admin/admin_test.go
@@ -22,12 +22,12 @@
 		{"/healthz", "", http.StatusOK},
 		{"/readyz", "", http.StatusServiceUnavailable},
 	}
-	for _, one := range cases {
-		r := httptest.NewRequest(http.MethodGet, one.path, nil)
-		r.Header.Set("Authorization", one.token)
+	for _, tt := range cases {
+		r := httptest.NewRequest(http.MethodGet, tt.path, nil)
+		r.Header.Set("Authorization", tt.token)
 		w := httptest.NewRecorder()
 		a.Handler().ServeHTTP(w, r)
-		assert.Equal(t, w.Code, one.want, one.path)
+		assert.Equal(t, w.Code, tt.want, tt.path)
 	}
 }
 
--- a/transport/front/front.go
+++ b/transport/front/front.go
@@ -252,7 +252,7 @@
 		header.Set("Connection", "close")
 	}
 	w.WriteHeader(reply.Status)
-	flush := http.NewResponseController(w)
+	control := http.NewResponseController(w)
 	var buf [copyBuffer]byte
 	for {
 		n, err := reply.Body.Read(buf[:])
@@ -267,7 +267,7 @@
 		if err != nil {
 			panic(http.ErrAbortHandler)
 		}
-		if err := flush.Flush(); err != nil {
+		if err := control.Flush(); err != nil {
 			panic(http.ErrAbortHandler)
 		}
 	}
--- a/transport/front/front_test.go
+++ b/transport/front/front_test.go
@@ -109,22 +109,22 @@
 		{"may have run", 1, post("/a/x", ""), core.MayHaveRun("lost", ""), 502, false, ""},
 		{"other error", 1, post("/a/x", ""), errors.New("odd"), 502, false, ""},
 	}
-	for _, one := range cases {
+	for _, tt := range cases {
 		d := &dispatcher{answer: func(context.Context) (*core.Reply, error) {
-			if one.err != nil {
-				return nil, one.err
+			if tt.err != nil {
+				return nil, tt.err
 			}
 			return reply(200, strings.NewReader("ok"))
 		}}
-		_, srv := setUp(t, one.version, d)
-		resp, _, err := send(t, srv, one.text)
-		assert.NilError(t, err, one.name)
-		assert.Equal(t, resp.StatusCode, one.want, one.name)
-		assert.Equal(t, resp.Header.Get("Retry-After") != "", one.retry, one.name)
+		_, srv := setUp(t, tt.version, d)
+		resp, _, err := send(t, srv, tt.text)
+		assert.NilError(t, err, tt.name)
+		assert.Equal(t, resp.StatusCode, tt.want, tt.name)
+		assert.Equal(t, resp.Header.Get("Retry-After") != "", tt.retry, tt.name)
 		logged := lines.FilterMessage(logs.RefusedAtFront).All()
-		assert.Equal(t, len(logged) > 0, one.code != "", one.name)
-		if one.code != "" {
-			assert.Equal(t, logged[0].ContextMap()["code"], one.code)
+		assert.Equal(t, len(logged) > 0, tt.code != "", tt.name)
+		if tt.code != "" {
+			assert.Equal(t, logged[0].ContextMap()["code"], tt.code)
 		}
 	}
 }
@@ -196,7 +196,7 @@
 }
 
 // A Retry-After time of less than half a millisecond, as for a request whose hold is about to
-// expire, would round to 0, which means that the time is not known.
+// expire, would round to 0, which the caller cannot distinguish from never.
 func TestRetryAfterIsNeverZero(t *testing.T) {
 	for _, retry := range []time.Duration{1, 400 * time.Microsecond, time.Millisecond, 2 * time.Second} {
 		w := httptest.NewRecorder()
--- a/transport/peer/peer.go
+++ b/transport/peer/peer.go
@@ -96,22 +96,22 @@
 				}
 				return countConn{conn, count}, nil
 			},
-			Protocols:       cleartext2(),
+			Protocols:       unencryptedHTTP2(),
 			IdleConnTimeout: idleTimeout,
-			HTTP2:           pings(),
+			HTTP2:           pingConfig(),
 		}},
 		options: []connect.ClientOption{connect.WithInterceptors(trace)},
 		clients: map[netip.AddrPort]peerv1connect.PeerClient{},
 	}, nil
 }
 
-func cleartext2() *http.Protocols {
+func unencryptedHTTP2() *http.Protocols {
 	p := &http.Protocols{}
 	p.SetUnencryptedHTTP2(true)
 	return p
 }
 
-func pings() *http.HTTP2Config {
+func pingConfig() *http.HTTP2Config {
 	return &http.HTTP2Config{SendPingTimeout: pingAfter, PingTimeout: pingTimeout, MaxConcurrentStreams: 10000}
 }
 
@@ -140,8 +140,8 @@
 	mux.Handle(peerv1connect.NewPeerHandler(h, connect.WithInterceptors(trace)))
 	return &http.Server{
 		Handler:           mux,
-		Protocols:         cleartext2(),
-		HTTP2:             pings(),
+		Protocols:         unencryptedHTTP2(),
+		HTTP2:             pingConfig(),
 		ReadHeaderTimeout: 5 * time.Second,
 	}, nil
 }
--- a/transport/routers/routers.go
+++ b/transport/routers/routers.go
@@ -231,8 +231,8 @@
 }
 
 // classOf returns the class that the request names, or that of the settings if the request
-// names none. If the settings name a class explicitly, the request may lower it but not raise
-// it.
+// names none. If the settings name a class explicitly, the request may only name a less urgent
+// one; a more urgent one is replaced by that of the settings.
 func classOf(r *http.Request, eff *tree.Effective) (core.Class, error) {
 	text := r.Header.Get(core.HeaderClass)
 	if text == "" {
