--- a/services/tree/tree.go
+++ b/services/tree/tree.go
@@ -262,7 +262,7 @@
 	}
 	switch {
 	case errors.Is(err, core.ErrOvertaken):
-		// The edit was written, and a later edit has already overwritten it.
+		// The edit was written and then overwritten by a later edit, which is the one that counts.
 	case errors.Is(err, core.ErrConflict), errors.Is(err, core.ErrExists):
 		newest, stored, readErr := s.readForEdit(ctx, p)
 		if readErr != nil {
--- a/transport/routers/routers.go
+++ b/transport/routers/routers.go
@@ -51,30 +51,30 @@
 
 // Leave makes the API set "Connection: close" on all further answers, so that no connection
 // is in use when the listener is closed.
-func (c *API) Leave() { c.leaving.Store(true) }
+func (a *API) Leave() { a.leaving.Store(true) }
 
 // Server returns an HTTP server for callers.
-func (c *API) Server(maxHeader int) *http.Server {
+func (a *API) Server(maxHeader int) *http.Server {
 	return &http.Server{
-		Handler:           c.Handler(),
+		Handler:           a.Handler(),
 		ReadHeaderTimeout: headerTimeout,
 		IdleTimeout:       idleTimeout,
 		MaxHeaderBytes:    maxHeader,
-		ErrorLog:          zap.NewStdLog(c.log.WithOptions(zap.IncreaseLevel(zap.ErrorLevel))),
+		ErrorLog:          zap.NewStdLog(a.log.WithOptions(zap.IncreaseLevel(zap.ErrorLevel))),
 	}
 }
 
 // Handler returns the handler of all routes.
-func (c *API) Handler() http.Handler {
+func (a *API) Handler() http.Handler {
 	r := chi.NewRouter()
-	r.Use(c.traceRequests)
-	r.Post("/v1/chat/completions", c.serveModel)
-	r.Post("/v1/completions", c.serveModel)
-	r.Get("/v1/models", c.listModels)
-	r.Get("/v1/entries", c.listEntries)
-	r.Get("/v1/requests/{id}", c.reconnect)
-	r.HandleFunc("/services/{service}/*", c.servePlain)
-	r.HandleFunc("/services/{service}", c.servePlain)
+	r.Use(a.traceRequests)
+	r.Post("/v1/chat/completions", a.serveModel)
+	r.Post("/v1/completions", a.serveModel)
+	r.Get("/v1/models", a.listModels)
+	r.Get("/v1/entries", a.listEntries)
+	r.Get("/v1/requests/{id}", a.reconnect)
+	r.HandleFunc("/services/{service}/*", a.servePlain)
+	r.HandleFunc("/services/{service}", a.servePlain)
 	r.NotFound(func(w http.ResponseWriter, _ *http.Request) {
 		writeError(w, core.NotRun(http.StatusNotFound, "unknown_path", "there is no such path", 0))
 	})
@@ -85,12 +85,12 @@
 }
 
 // traceRequests starts a span for each request, and closes the connections of a leaving daemon.
-func (c *API) traceRequests(next http.Handler) http.Handler {
+func (a *API) traceRequests(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		ctx := otel.GetTextMapPropagator().Extract(r.Context(), propagation.HeaderCarrier(r.Header))
 		ctx, span := otel.Tracer("primroseward").Start(ctx, "entry", trace.WithSpanKind(trace.SpanKindServer))
 		defer span.End()
-		if c.leaving.Load() {
+		if a.leaving.Load() {
 			w.Header().Set("Connection", "close")
 		}
 		next.ServeHTTP(w, r.WithContext(ctx))
@@ -106,12 +106,12 @@
 }
 
 // serveModel serves a request for a model.
-func (c *API) serveModel(w http.ResponseWriter, r *http.Request) {
-	t, ok := c.settings(w)
+func (a *API) serveModel(w http.ResponseWriter, r *http.Request) {
+	t, ok := a.settings(w)
 	if !ok {
 		return
 	}
-	body, ok := c.readBody(w, r)
+	body, ok := a.readBody(w, r)
 	if !ok {
 		return
 	}
@@ -124,18 +124,18 @@
 	if len(q.Prefix) == 0 {
 		q.Prefix = req.Prompt
 	}
-	if err := c.checkModel(t, q); err != nil {
+	if err := a.checkModel(t, q); err != nil {
 		writeError(w, err)
 		return
 	}
 	eff := t.Effective(tree.Coord{Service: q.Service, Model: q.Model})
 	q.Repeat = eff.Repeat
 	q.Path = r.URL.RequestURI()
-	c.serve(w, r, q, eff, body)
+	a.serve(w, r, q, eff, body)
 }
 
 // checkModel validates the model of a request, and sets the service if the request names none.
-func (c *API) checkModel(t *tree.Tree, q *entry.Ask) error {
+func (a *API) checkModel(t *tree.Tree, q *entry.Ask) error {
 	if q.Model == "" {
 		return core.NotRun(http.StatusBadRequest, "model_missing", "model: must be set", 0)
 	}
@@ -152,8 +152,8 @@
 }
 
 // servePlain serves a request to a plain service.
-func (c *API) servePlain(w http.ResponseWriter, r *http.Request) {
-	t, ok := c.settings(w)
+func (a *API) servePlain(w http.ResponseWriter, r *http.Request) {
+	t, ok := a.settings(w)
 	if !ok {
 		return
 	}
@@ -163,7 +163,7 @@
 		writeError(w, core.NotRun(http.StatusNotFound, "unknown_service", fmt.Sprintf("service %q is not served", name), 0))
 		return
 	}
-	body, ok := c.readBody(w, r)
+	body, ok := a.readBody(w, r)
 	if !ok {
 		return
 	}
@@ -176,33 +176,33 @@
 	if r.URL.RawQuery != "" {
 		q.Path += "?" + r.URL.RawQuery
 	}
-	c.serve(w, r, q, eff, body)
+	a.serve(w, r, q, eff, body)
 }
 
 // serve runs the request and writes its answer to the caller.
-func (c *API) serve(w http.ResponseWriter, r *http.Request, q *entry.Ask, eff *tree.Effective, body []byte) {
+func (a *API) serve(w http.ResponseWriter, r *http.Request, q *entry.Ask, eff *tree.Effective, body []byte) {
 	q.Method = r.Method
 	q.Body = body
 	q.Scope = scopeOf(r)
 	q.Key = r.Header.Get(core.HeaderIdempotencyKey)
 	q.Header = forwardedHeader(r.Header)
-	if err := c.setMetadata(r, q, eff); err != nil {
+	if err := a.setMetadata(r, q, eff); err != nil {
 		writeError(w, err)
 		return
 	}
 	w.Header().Set(core.HeaderRequest, q.ID)
-	buf, err := c.entry.Begin(r.Context(), q)
+	buf, err := a.entry.Begin(r.Context(), q)
 	if err != nil {
 		writeError(w, err)
 		return
 	}
 	if writeAnswer(r.Context(), w, buf, 0) != nil {
-		c.entry.Leave(q)
+		a.entry.Leave(q)
 	}
 }
 
 // setMetadata sets the id, class and deadline of a request.
-func (c *API) setMetadata(r *http.Request, q *entry.Ask, eff *tree.Effective) error {
+func (a *API) setMetadata(r *http.Request, q *entry.Ask, eff *tree.Effective) error {
 	q.ID = r.Header.Get(core.HeaderRequest)
 	q.Returns = q.ID != "" || q.Key != ""
 	for name, v := range map[string]string{core.HeaderRequest: q.ID, core.HeaderIdempotencyKey: q.Key} {
@@ -226,7 +226,7 @@
 		}
 		limit = min(limit, requested)
 	}
-	q.Deadline = c.clock.Now().Add(limit)
+	q.Deadline = a.clock.Now().Add(limit)
 	return nil
 }
 
@@ -287,8 +287,8 @@
 }
 
 // settings returns the settings tree, or answers with an error if there is none yet.
-func (c *API) settings(w http.ResponseWriter) (*tree.Tree, bool) {
-	t := c.entry.Tree()
+func (a *API) settings(w http.ResponseWriter) (*tree.Tree, bool) {
+	t := a.entry.Tree()
 	if t == nil {
 		writeError(w, core.NotRun(http.StatusServiceUnavailable, "starting", "there are no settings yet", time.Second))
 	}
@@ -298,10 +298,10 @@
 // readBody reads a request's body within the size limit and the timeout. It answers with an
 // error and returns false on failure. A caller that stops sending occupies one goroutine until
 // the timeout and no other resources.
-func (c *API) readBody(w http.ResponseWriter, r *http.Request) ([]byte, bool) {
+func (a *API) readBody(w http.ResponseWriter, r *http.Request) ([]byte, bool) {
 	control := http.NewResponseController(w)
-	_ = control.SetReadDeadline(time.Now().Add(c.bodyTimeout))
-	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, c.maxBody))
+	_ = control.SetReadDeadline(time.Now().Add(a.bodyTimeout))
+	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, a.maxBody))
 	_ = control.SetReadDeadline(time.Time{})
 	var tooLarge *http.MaxBytesError
 	var netErr net.Error
@@ -309,7 +309,7 @@
 	case err == nil:
 		return body, true
 	case errors.As(err, &tooLarge):
-		writeError(w, core.NotRun(http.StatusRequestEntityTooLarge, "body_too_large", fmt.Sprintf("body: over %d bytes", c.maxBody), 0))
+		writeError(w, core.NotRun(http.StatusRequestEntityTooLarge, "body_too_large", fmt.Sprintf("body: over %d bytes", a.maxBody), 0))
 	case errors.As(err, &netErr) && netErr.Timeout():
 		w.Header().Set("Connection", "close")
 		writeError(w, core.NotRun(http.StatusRequestTimeout, "slow_sender", "body: not received in time", 0))
@@ -328,8 +328,8 @@
 }
 
 // listModels serves the list of models.
-func (c *API) listModels(w http.ResponseWriter, _ *http.Request) {
-	t, ok := c.settings(w)
+func (a *API) listModels(w http.ResponseWriter, _ *http.Request) {
+	t, ok := a.settings(w)
 	if !ok {
 		return
 	}
@@ -341,8 +341,8 @@
 }
 
 // listEntries serves the addresses of daemons that a caller may use.
-func (c *API) listEntries(w http.ResponseWriter, r *http.Request) {
-	t, ok := c.settings(w)
+func (a *API) listEntries(w http.ResponseWriter, r *http.Request) {
+	t, ok := a.settings(w)
 	if !ok {
 		return
 	}
@@ -351,13 +351,13 @@
 		writeError(w, core.NotRun(http.StatusNotFound, "unknown_model", fmt.Sprintf("model: %q is not served", model), 0))
 		return
 	}
-	list := c.entry.Addresses(r.Context(), model, r.URL.Query().Get("place"))
+	list := a.entry.Addresses(r.Context(), model, r.URL.Query().Get("place"))
 	w.Header().Set("Cache-Control", fmt.Sprintf("max-age=%d", int(entry.AddressLife.Seconds())))
 	writeJSON(w, http.StatusOK, map[string]any{"entries": list, "life": entry.AddressLife.Seconds()})
 }
 
 // reconnect serves an answer from an offset to a caller that lost the connection.
-func (c *API) reconnect(w http.ResponseWriter, r *http.Request) {
+func (a *API) reconnect(w http.ResponseWriter, r *http.Request) {
 	id := chi.URLParam(r, "id")
 	offset, err := strconv.ParseInt(r.URL.Query().Get("offset"), 10, 64)
 	if r.URL.Query().Get("offset") == "" {
@@ -368,7 +368,7 @@
 		return
 	}
 	w.Header().Set(core.HeaderRequest, id)
-	buf, err := c.find(r.Context(), scopeOf(r), id)
+	buf, err := a.find(r.Context(), scopeOf(r), id)
 	switch {
 	case errors.Is(err, core.ErrGone):
 		gone := core.MayHaveRun("answer_gone", "the answer is no longer held")
@@ -387,10 +387,10 @@
 }
 
 // find looks up an answer by id: first as a request id, then as an idempotency key.
-func (c *API) find(ctx context.Context, scope, id string) (*answer.Buffer, error) {
-	buf, err := c.entry.Return(ctx, scope, id)
+func (a *API) find(ctx context.Context, scope, id string) (*answer.Buffer, error) {
+	buf, err := a.entry.Return(ctx, scope, id)
 	if errors.Is(err, core.ErrNotFound) {
-		return c.entry.Return(ctx, scope, "key:"+id)
+		return a.entry.Return(ctx, scope, "key:"+id)
 	}
 	return buf, err
 }
