--- a/services/holds/holds_test.go
+++ b/services/holds/holds_test.go
@@ -14,7 +14,7 @@
 	"primroseward/state/hold"
 )
 
-func TestReleaseInTheStore(t *testing.T) {
+func TestStoreRelease(t *testing.T) {
 	ctx, clock := context.Background(), clockwork.NewFakeClock()
 	store := memory.New().Client()
 	s := NewStore(store, clock)
@@ -41,5 +41,5 @@
 	got, err := hold.Stored(o.Body, clock.Now())
 	assert.NilError(t, err)
 	assert.Equal(t, got.Version, uint64(4))
-	assert.Assert(t, errors.Is(s.Release(ctx, d), ErrNotHeld))
+	assert.Assert(t, errors.Is(s.Release(ctx, d), ErrNotOnHold))
 }
