--- a/protocol/endpoint/body.go
+++ b/protocol/endpoint/body.go
@@ -9,21 +9,22 @@
 	"primroseward/core"
 )
 
-// silence cancels a call after a time without a byte. A connection that
-// something on the way has forgotten gives no error, only silence.
-type silence struct {
+// stallTimer cancels a call when no byte has arrived for a time limit. A connection
+// whose state was dropped by a device on the network path gives no error; it only
+// stops delivering data.
+type stallTimer struct {
 	timer   interface{ Stop() bool }
 	reset   func()
-	tripped atomic.Bool
+	expired atomic.Bool
 }
 
-func newSilence(clock core.Clock, limit time.Duration, cancel func()) *silence {
-	s := &silence{reset: func() {}}
+func newStallTimer(clock core.Clock, limit time.Duration, cancel func()) *stallTimer {
+	s := &stallTimer{reset: func() {}}
 	if limit <= 0 {
 		return s
 	}
 	t := clock.AfterFunc(limit, func() {
-		s.tripped.Store(true)
+		s.expired.Store(true)
 		cancel()
 	})
 	s.timer = t
@@ -31,35 +32,36 @@
 	return s
 }
 
-func (s *silence) stop() {
+func (s *stallTimer) stop() {
 	if s.timer != nil {
 		s.timer.Stop()
 	}
 }
 
-// ErrSilent is the error of a body whose connection went silent.
-var ErrSilent = errors.New("endpoint connection went silent")
+// ErrStalled is returned by a body whose connection has delivered nothing for the
+// call's time limit.
+var ErrStalled = errors.New("endpoint connection stalled")
 
-// watchedBody is a response body watched for silence.
+// watchedBody is a response body whose reads restart the call's stall timer.
 type watchedBody struct {
-	rc      io.ReadCloser
-	silence *silence
-	cancel  func()
+	rc     io.ReadCloser
+	stall  *stallTimer
+	cancel func()
 }
 
 func (b *watchedBody) Read(p []byte) (int, error) {
 	n, err := b.rc.Read(p)
 	if n > 0 {
-		b.silence.reset()
+		b.stall.reset()
 	}
-	if err != nil && err != io.EOF && b.silence.tripped.Load() {
-		err = ErrSilent
+	if err != nil && err != io.EOF && b.stall.expired.Load() {
+		err = ErrStalled
 	}
 	return n, err
 }
 
 func (b *watchedBody) Close() error {
-	b.silence.stop()
+	b.stall.stop()
 	b.cancel()
 	return b.rc.Close()
 }
--- a/protocol/endpoint/client.go
+++ b/protocol/endpoint/client.go
@@ -24,42 +24,42 @@
 )
 
 const (
-	dialTimeout    = time.Second
-	observeTimeout = 2 * time.Second
-	maxObservation = 4 << 20
+	dialTimeout     = time.Second
+	nativeTimeout   = 2 * time.Second
+	maxNativeAnswer = 4 << 20 // bytes
 )
 
-// Paths of an engine's own interface, beside OpenAI's.
+// Paths of an engine's native interface, which it serves besides the OpenAI API.
 const (
 	PathState   = "/state"
 	PathOrders  = "/orders"
 	PathStreams = "/v1/streams/" // + attempt id; GET with offset, DELETE
 )
 
-// Client speaks to one endpoint. It implements core.Endpoint.
+// Client sends calls and orders to one endpoint. It implements core.Endpoint.
 type Client struct {
-	base   string
+	base   string // URL without a path
 	clock  core.Clock
-	echo   bool
-	reused *http.Transport
-	fresh  *http.Transport
+	echo   bool            // refuse answers without the attempt's id
+	reused *http.Transport // reuses connections
+	fresh  *http.Transport // dials a connection per request
 }
 
-// Option changes a Client.
+// Option configures a Client.
 type Option func(*Client)
 
-// WithEcho refuses answers that do not carry the attempt's id. Engines echo
-// it; plain services need not.
+// WithEcho makes the client refuse answers that do not carry the attempt's id. Engines
+// echo it; plain services need not.
 func WithEcho() Option { return func(c *Client) { c.echo = true } }
 
-// New makes a client of the endpoint at addr.
+// New returns a client for the endpoint at addr.
 func New(addr netip.AddrPort, clock core.Clock, opts ...Option) *Client {
 	c := &Client{base: "http://" + addr.String(), clock: clock}
 	c.reused = newTransport()
-	// net/http sends a request again by itself when a reused connection breaks
-	// before an answer and the request looks idempotent to it, for example by
-	// its Idempotency-Key. The endpoint would run it twice with no error seen
-	// here. A connection that carries one request is never reused.
+	// http.Transport resends a request when a reused connection breaks before an
+	// answer and it takes the request for idempotent, for example because of an
+	// Idempotency-Key header. The endpoint would run it twice, and no error would be
+	// returned here. Without keep-alives each connection carries one request only.
 	c.fresh = newTransport()
 	c.fresh.DisableKeepAlives = true
 	for _, o := range opts {
@@ -91,13 +91,14 @@
 	return p
 }
 
-// Close drops idle connections.
+// Close closes idle connections.
 func (c *Client) Close() {
 	c.reused.CloseIdleConnections()
 	c.fresh.CloseIdleConnections()
 }
 
-// Do sends a call.
+// Do sends a call and returns its answer with an unread body. Only repeatable calls use
+// pooled connections, since the transport may resend them.
 func (c *Client) Do(ctx context.Context, call core.Call) (*core.Answer, error) {
 	header := call.Header.Clone()
 	if header == nil {
@@ -112,7 +113,8 @@
 	return c.send(ctx, transport, call, call.Method, call.Path, header, call.Body)
 }
 
-// Resume reads an attempt's answer again from an offset.
+// Resume reads the answer of an attempt from an offset in bytes. It returns ErrNotFound
+// if the endpoint does not have it.
 func (c *Client) Resume(ctx context.Context, call core.Call, offset int64) (*core.Answer, error) {
 	path := fmt.Sprintf("%s%s?offset=%d", PathStreams, url.PathEscape(call.Attempt), offset)
 	a, err := c.send(ctx, c.fresh, call, http.MethodGet, path, http.Header{}, nil)
@@ -135,19 +137,19 @@
 		cancel()
 		return nil, core.NotRun(http.StatusBadRequest, "bad_request", err.Error(), 0)
 	}
-	// GetBody would let the transport rewind and send the body again.
+	// With GetBody set, the transport could rewind the body and resend the request.
 	req.GetBody = nil
 	req.Header = header
 	otel.GetTextMapPropagator().Inject(ctx, propagation.HeaderCarrier(req.Header))
-	silence := newSilence(c.clock, call.Stall, cancel)
+	stall := newStallTimer(c.clock, call.Stall, cancel)
 	resp, err := tr.RoundTrip(req)
 	if err != nil {
-		silence.stop()
+		stall.stop()
 		cancel()
-		return nil, broken(used.seal(), err)
+		return nil, callError(used.seal(), err)
 	}
 	if err := c.verify(call, resp); err != nil {
-		silence.stop()
+		stall.stop()
 		_ = resp.Body.Close()
 		cancel()
 		return nil, err
@@ -155,27 +157,28 @@
 	return &core.Answer{
 		Status: resp.StatusCode,
 		Header: resp.Header,
-		Body:   &watchedBody{rc: resp.Body, silence: silence, cancel: cancel},
+		Body:   &watchedBody{rc: resp.Body, stall: stall, cancel: cancel},
 	}, nil
 }
 
-func broken(wrote bool, err error) error {
+// callError returns the error of a call without an answer: may have run if anything was
+// written, not run otherwise.
+func callError(wrote bool, err error) error {
 	if wrote {
 		return core.MayHaveRun(core.CodeEndpointBroken, err.Error())
 	}
 	return core.NotRun(http.StatusServiceUnavailable, "endpoint_unreachable", err.Error(), time.Second)
 }
 
-// verify refuses answers that may belong to another request or whose end could
-// not be told from a cut: a body that ends when the connection does looks the
-// same whole and truncated.
+// verify refuses answers that may belong to another request, and answers whose body is
+// ended only by closing the connection, since a truncated body would look complete.
 func (c *Client) verify(call core.Call, resp *http.Response) error {
 	id := resp.Header.Get(core.HeaderRequestID)
 	if id != call.Attempt && (id != "" || c.echo) {
 		return core.MayHaveRun("crossed_answer", fmt.Sprintf("answer carries id %q", id))
 	}
 	if resp.ContentLength < 0 && len(resp.TransferEncoding) == 0 && hasBody(call.Method, resp.StatusCode) {
-		return core.MayHaveRun("answer_without_end", "the endpoint marks no end of its answer")
+		return core.MayHaveRun("answer_without_end", "the answer has neither a length nor chunked encoding")
 	}
 	return nil
 }
@@ -184,16 +187,16 @@
 	return method != http.MethodHead && status != http.StatusNoContent && status != http.StatusNotModified
 }
 
-// Cancel stops an attempt.
+// Cancel makes the endpoint stop an attempt.
 func (c *Client) Cancel(ctx context.Context, attempt string) error {
-	_, err := c.plain(ctx, http.MethodDelete, PathStreams+url.PathEscape(attempt), nil)
+	_, err := c.callNative(ctx, http.MethodDelete, PathStreams+url.PathEscape(attempt), nil)
 	return err
 }
 
-// Observe asks the endpoint what it holds.
+// Observe fetches the endpoint's state: its resident models and running requests.
 func (c *Client) Observe(ctx context.Context) (core.Observation, error) {
 	var o core.Observation
-	data, err := c.plain(ctx, http.MethodGet, PathState, nil)
+	data, err := c.callNative(ctx, http.MethodGet, PathState, nil)
 	if err != nil {
 		return o, err
 	}
@@ -203,19 +206,20 @@
 	return o, nil
 }
 
-// Order sends an order. ErrStaleFence means that the endpoint refused it; any
-// other error leaves open whether it was or will be carried out.
+// Order sends an order. ErrStaleFence means that the endpoint refused it. After any
+// other error the order may have been carried out, or may still be.
 func (c *Client) Order(ctx context.Context, o core.Order) error {
 	data, err := json.Marshal(o)
 	if err != nil {
 		return eris.Wrap(core.ErrInvalid, err.Error())
 	}
-	_, err = c.plain(ctx, http.MethodPost, PathOrders, data)
+	_, err = c.callNative(ctx, http.MethodPost, PathOrders, data)
 	return err
 }
 
-func (c *Client) plain(ctx context.Context, method, path string, body []byte) ([]byte, error) {
-	ctx, cancel := context.WithTimeout(ctx, observeTimeout)
+// callNative calls the endpoint's native interface and returns the body of the answer.
+func (c *Client) callNative(ctx context.Context, method, path string, body []byte) ([]byte, error) {
+	ctx, cancel := context.WithTimeout(ctx, nativeTimeout)
 	defer cancel()
 	req, err := http.NewRequestWithContext(ctx, method, c.base+path, bytes.NewReader(body))
 	if err != nil {
@@ -229,7 +233,7 @@
 		return nil, eris.Wrapf(core.ErrUnavailable, "endpoint: %v", err)
 	}
 	defer resp.Body.Close()
-	data, err := io.ReadAll(io.LimitReader(resp.Body, maxObservation))
+	data, err := io.ReadAll(io.LimitReader(resp.Body, maxNativeAnswer))
 	if err != nil {
 		return nil, eris.Wrapf(core.ErrUnavailable, "endpoint: %v", err)
 	}
--- a/protocol/endpoint/client_test.go
+++ b/protocol/endpoint/client_test.go
@@ -20,14 +20,15 @@
 	"primroseward/protocol/endpoint"
 )
 
-// rawServer reads whole requests and lets a test answer each as it likes.
+// rawServer is an endpoint that reads each request completely and whose answers are
+// written byte by byte by the test.
 type rawServer struct {
 	addr netip.AddrPort
 	seen atomic.Int32
 }
 
-// serveRaw calls handle with each request's number; it returns false to close
-// the connection without an answer.
+// serveRaw starts a rawServer that calls handle for each request, with the request's
+// number (counted from 1). The connection is closed after handle returns false.
 func serveRaw(t *testing.T, handle func(n int32, r *http.Request, conn net.Conn) bool) *rawServer {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -40,13 +41,13 @@
 			if err != nil {
 				return
 			}
-			go s.one(conn, handle)
+			go s.serveConn(conn, handle)
 		}
 	}()
 	return s
 }
 
-func (s *rawServer) one(conn net.Conn, handle func(n int32, r *http.Request, conn net.Conn) bool) {
+func (s *rawServer) serveConn(conn net.Conn, handle func(n int32, r *http.Request, conn net.Conn) bool) {
 	defer conn.Close()
 	in := bufio.NewReader(conn)
 	for {
@@ -82,10 +83,10 @@
 
 const okAnswer = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"
 
-// A doubled order: net/http by itself sends a request again when a reused
-// connection breaks before an answer and the request has an Idempotency-Key or
-// is a GET. The endpoint closes each connection at its second request; every
-// call that may not be repeated must arrive once.
+// Guards against running a request twice. http.Transport resends a request when a reused
+// connection breaks before an answer and the request has an Idempotency-Key or is a GET.
+// The endpoint closes each connection at the second request; every call that is not
+// repeatable must arrive once.
 func TestNoSilentResend(t *testing.T) {
 	cases := []struct {
 		method string
@@ -96,7 +97,7 @@
 		{http.MethodGet, nil},
 		{http.MethodPost, nil},
 	}
-	for _, one := range cases {
+	for _, tc := range cases {
 		s := serveRaw(t, func(n int32, _ *http.Request, conn net.Conn) bool {
 			if n > 1 {
 				return false
@@ -107,16 +108,16 @@
 		c := endpoint.New(s.addr, clockwork.NewRealClock())
 		_, err := doWith(c, core.Call{Method: http.MethodGet, Path: "/", Repeat: true})
 		assert.NilError(t, err)
-		_, err = doWith(c, core.Call{Method: one.method, Path: "/", Header: one.header})
+		_, err = doWith(c, core.Call{Method: tc.method, Path: "/", Header: tc.header})
 		var re *core.RequestError
 		assert.Assert(t, errors.As(err, &re))
 		assert.Equal(t, re.Outcome, core.OutcomeMayHaveRun)
-		assert.Equal(t, s.seen.Load(), int32(2), "%s %v", one.method, one.header)
+		assert.Equal(t, s.seen.Load(), int32(2), "%s %v", tc.method, tc.header)
 	}
 }
 
-// A caller is told that nothing ran when something may have, and orders again.
-// Only a call that never had a connection to write to may be called not run.
+// Guards against reporting a call as not run that may have run, so that the caller
+// repeats it. Only a call that never had a connection to write to is reported as not run.
 func TestOutcomeIsTrue(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
@@ -134,14 +135,14 @@
 			return false
 		})
 		_, err := do(t, s, core.Call{Method: http.MethodPost, Path: "/"})
-		assert.Assert(t, err != nil, "%q passed for whole", text)
+		assert.Assert(t, err != nil, "%q was accepted as complete", text)
 		assert.Equal(t, core.AsRequestError(err).Outcome, core.OutcomeMayHaveRun, "%q", text)
 	}
 }
 
-// A stream stands still for ever: the connection swallows bytes and gives no
-// error.
-func TestSilenceIsNoticed(t *testing.T) {
+// Guards against waiting for ever on a stalled stream: the connection stays open, delivers
+// nothing and gives no error.
+func TestStalledBodyReturnsErrStalled(t *testing.T) {
 	hold := make(chan struct{})
 	defer close(hold)
 	s := serveRaw(t, func(_ int32, _ *http.Request, conn net.Conn) bool {
@@ -150,11 +151,11 @@
 		return false
 	})
 	got, err := do(t, s, core.Call{Method: http.MethodPost, Path: "/", Stall: 50 * time.Millisecond})
-	assert.Assert(t, errors.Is(err, endpoint.ErrSilent), "%v", err)
+	assert.Assert(t, errors.Is(err, endpoint.ErrStalled), "%v", err)
 	assert.Equal(t, got, "ok")
 }
 
-func TestEchoIsAskedFor(t *testing.T) {
+func TestWithEchoRefusesAnswersWithoutID(t *testing.T) {
 	s := serveRaw(t, func(_ int32, r *http.Request, conn net.Conn) bool {
 		text := okAnswer
 		if strings.HasSuffix(r.URL.Path, "echo") {
--- a/protocol/endpoint/conn.go
+++ b/protocol/endpoint/conn.go
@@ -9,10 +9,10 @@
 
 var errSealed = errors.New("connection is sealed")
 
-// guardConn knows whether a call has written to it. A call that failed may be
-// reported as not run only if no byte of it can have left. The transport's own
-// error does not tell: it may fail a call while its writer is about to write.
-// Sealing under the same lock that writes take makes the answer final.
+// guardConn records whether the current call has written to it. A failed call may be
+// reported as not run only if no byte of it can have been sent. The transport's error
+// does not show that: the transport may fail a call while its writer goroutine is
+// about to write. seal takes the same lock as Write, so no write can follow its result.
 type guardConn struct {
 	net.Conn
 	mu     sync.Mutex
@@ -31,14 +31,14 @@
 	return c.Conn.Write(b)
 }
 
-// begin forgets the writes of the call that used the connection before.
+// begin starts a new call on the connection and clears the record of earlier writes.
 func (c *guardConn) begin() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.wrote = false
 }
 
-// seal refuses all later writes and says whether there was one before.
+// seal makes all later writes fail and reports whether the call has written before.
 func (c *guardConn) seal() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -47,7 +47,7 @@
 	return c.wrote
 }
 
-// usage collects the connections that one call was given.
+// usage collects the connections that the transport has used for one call.
 type usage struct {
 	mu    sync.Mutex
 	conns []*guardConn
@@ -64,7 +64,7 @@
 	u.conns = append(u.conns, g)
 }
 
-// seal seals all of them and says whether any byte was written.
+// seal seals all connections and reports whether the call has written to any of them.
 func (u *usage) seal() bool {
 	u.mu.Lock()
 	defer u.mu.Unlock()
--- a/protocol/runner/client.go
+++ b/protocol/runner/client.go
@@ -1,7 +1,6 @@
 // Package runner sends requests and orders to runners over HTTP/1.1
-// connections of its own. The standard library's transport is not used since
-// it sends a request again by itself when a reused connection breaks, which
-// would run a request twice without anybody knowing.
+// connections that it manages itself. It does not use http.Transport, which resends a
+// request when a reused connection breaks, so that a request could run twice unnoticed.
 package runner
 
 import (
@@ -24,24 +23,25 @@
 )
 
 const (
-	// dialTimeout is far above a round trip within a country, and leaves a
-	// request time for another runner.
+	// dialTimeout is far above a round trip within a country, and short enough that
+	// a request has time left to try another runner.
 	dialTimeout = 500 * time.Millisecond
-	// keepDefault is how long an idle connection is kept where the runner does
-	// not tell; keepShare is the part in percent of the time it tells.
-	keepDefault = 3 * time.Second
-	keepShare   = 60
-	// inlineBody is what fits any socket buffer: such a body is written before
-	// the answer is read. Longer ones are written beside the reading, since a
-	// runner may answer before it has read them.
-	inlineBody = 16 << 10
-	maxCall    = 4 << 20 // answer of a report or an order, in bytes
-	// maxForeign bounds the answers to other requests that are skipped on a
-	// connection before it is given up.
-	maxForeign = 2
+	// defaultIdleTimeout is how long an idle connection is kept if the runner sends no
+	// Keep-Alive timeout. If it sends one, idleTimeoutPercent of that time is used.
+	defaultIdleTimeout = 3 * time.Second
+	idleTimeoutPercent = 60
+	// maxInlineRequest is the largest request, head and body in bytes, that is written
+	// completely before the answer is read; it fits any socket buffer. The body of a
+	// larger request is written concurrently with reading the answer, since a runner
+	// may answer before it has read the body.
+	maxInlineRequest = 16 << 10
+	maxCallAnswer    = 4 << 20 // limit in bytes of the answer to a report request or an order
+	// maxForeignAnswers is how many answers to other requests are skipped on a connection
+	// before it is closed.
+	maxForeignAnswers = 2
 )
 
-// Client keeps connections to runners, per instance of a runner.
+// Client sends requests to runners and pools idle connections per runner instance.
 type Client struct {
 	clock   core.Clock
 	dialect core.Dialect
@@ -50,19 +50,19 @@
 	called  func(id string)
 
 	mu    sync.Mutex
-	pools map[string][]*conn // idle connections, last used last
+	pools map[string][]*conn // idle connections by runner ID, most recently used last
 }
 
-// Option changes a Client.
+// Option configures a Client.
 type Option func(*Client)
 
-// WithDialed calls fn for each new connection.
+// WithDialed calls fn before each new connection is dialed.
 func WithDialed(fn func()) Option { return func(c *Client) { c.dialed = fn } }
 
-// WithCalled calls fn for each order or question that is sent to a runner.
+// WithCalled calls fn with the runner's ID for each order or report request sent to it.
 func WithCalled(fn func(id string)) Option { return func(c *Client) { c.called = fn } }
 
-// New makes a Client.
+// New returns a Client without connections.
 func New(clock core.Clock, dialect core.Dialect, opts ...Option) *Client {
 	c := &Client{
 		clock: clock, dialect: dialect, pools: map[string][]*conn{}, dialed: func() {}, called: func(string) {},
@@ -74,27 +74,29 @@
 	return c
 }
 
-// Forget closes the idle connections of a runner that is gone.
+// Forget closes the idle connections of a runner that has exited.
 func (c *Client) Forget(id string) {
 	c.mu.Lock()
 	idle := c.pools[id]
 	delete(c.pools, id)
 	c.mu.Unlock()
-	for _, one := range idle {
-		_ = one.Close()
+	for _, cn := range idle {
+		_ = cn.Close()
 	}
 }
 
+// get returns a pooled connection to the runner, or dials one. Its errors are
+// ErrNotSent, with ErrNoListener if the runner's host refused the connection.
 func (c *Client) get(ctx context.Context, r *core.Runner) (*conn, error) {
 	for {
-		one := c.pop(r.ID)
-		if one == nil {
+		cn := c.pop(r.ID)
+		if cn == nil {
 			break
 		}
-		if c.clock.Now().Before(one.expires) && one.quiet() {
-			return one, nil
+		if c.clock.Now().Before(cn.expires) && cn.reusable() {
+			return cn, nil
 		}
-		_ = one.Close()
+		_ = cn.Close()
 	}
 	c.dialed()
 	nc, err := c.dialer.DialContext(ctx, "tcp", r.Addr.String())
@@ -114,20 +116,20 @@
 	if len(idle) == 0 {
 		return nil
 	}
-	one := idle[len(idle)-1]
+	cn := idle[len(idle)-1]
 	c.pools[id] = idle[:len(idle)-1]
-	return one
+	return cn
 }
 
-func (c *Client) put(id string, one *conn, keep time.Duration) {
-	one.expires = c.clock.Now().Add(keep)
+func (c *Client) put(id string, cn *conn, reuseFor time.Duration) {
+	cn.expires = c.clock.Now().Add(reuseFor)
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.pools[id] = append(c.pools[id], one)
+	c.pools[id] = append(c.pools[id], cn)
 }
 
-// Send sends a request to a runner and reads the head of its answer. Ending
-// ctx drops the connection, at which the runner stops work. The error is
+// Send sends a request to a runner and reads the head of its answer. Cancelling ctx
+// closes the connection, and the runner then stops work on the request. The error is
 // ErrNotSent or ErrLost.
 func (c *Client) Send(ctx context.Context, r *core.Runner, q *core.Request, o core.Outgoing) (*core.Reply, error) {
 	header := q.Header.Clone()
@@ -139,56 +141,57 @@
 	if err := ctx.Err(); err != nil {
 		return nil, eris.Wrapf(core.ErrNotSent, "%v", err)
 	}
-	one, err := c.get(ctx, r)
+	cn, err := c.get(ctx, r)
 	if err != nil {
 		return nil, err
 	}
-	stop := context.AfterFunc(ctx, func() { _ = one.Close() })
-	drop := func() {
+	stop := context.AfterFunc(ctx, func() { _ = cn.Close() })
+	discard := func() {
 		stop()
-		_ = one.Close()
+		_ = cn.Close()
 	}
-	written, err := one.send(requestHead(method, host, target, header, payload), payload)
+	written, err := cn.send(requestHead(method, host, target, header, payload), payload)
 	if err != nil {
-		drop()
+		discard()
 		return nil, err
 	}
-	reply, err := c.read(one, id, method)
+	reply, err := c.read(cn, id, method)
 	if err != nil {
-		drop()
-		return nil, lost(err)
+		discard()
+		return nil, lostError(err)
 	}
-	keep := keepFor(reply.Header)
+	reuseFor := idleTimeout(reply.Header)
 	closing := reply.closing
-	reply.Body = &body{rc: reply.raw, release: func(whole bool) {
-		// stop fails when ctx has ended: then the connection is closed already.
-		if !whole || closing || !written() || one.in.Buffered() > 0 || !stop() {
-			drop()
+	reply.Body = &body{rc: reply.raw, release: func(complete bool) {
+		// stop returns false if ctx is done; the connection is closed by then.
+		if !complete || closing || !written() || cn.in.Buffered() > 0 || !stop() {
+			discard()
 			return
 		}
-		c.put(r.ID, one, keep)
+		c.put(r.ID, cn, reuseFor)
 	}}
 	return &reply.Reply, nil
 }
 
-// lost is the error of a request that was sent and has no whole answer.
-func lost(err error) error {
+// lostError wraps err as ErrLost: the request was sent, and its answer is missing or
+// incomplete. It adds ErrClosed if the runner closed the connection.
+func lostError(err error) error {
 	if closedByRunner(err) {
 		return fmt.Errorf("%w: %w: %v", core.ErrLost, core.ErrClosed, err)
 	}
 	return eris.Wrapf(core.ErrLost, "%v", err)
 }
 
-// closedByRunner says whether an error is of a connection that its other end has closed.
+// closedByRunner reports whether err means that the runner closed the connection.
 func closedByRunner(err error) bool {
 	return errors.Is(err, io.EOF) || errors.Is(err, io.ErrUnexpectedEOF) || errors.Is(err, syscall.ECONNRESET) || errors.Is(err, syscall.EPIPE)
 }
 
-// requestHead is the request line and headers as they go over the wire.
+// requestHead returns the request line and headers in wire format.
 func requestHead(method, host, target string, header http.Header, payload []byte) []byte {
 	var b bytes.Buffer
 	b.WriteString(method + " " + target + " HTTP/1.1\r\nHost: " + host + "\r\n")
-	_ = header.Write(&b) // a bytes.Buffer takes all
+	_ = header.Write(&b) // writing to a bytes.Buffer does not fail
 	if len(payload) > 0 || method == http.MethodPost || method == http.MethodPut || method == http.MethodPatch {
 		b.WriteString("Content-Length: " + strconv.Itoa(len(payload)) + "\r\n")
 	}
@@ -196,12 +199,12 @@
 	return b.Bytes()
 }
 
-// send writes a request. The function returned says whether all of it has been
-// written; a connection with a body half written must not be used again, as
-// the runner takes what follows for the rest of it.
+// send writes a request. The returned function reports whether all of it has been
+// written. A connection with a partly written body must not be reused, since the
+// runner would read the next request as the rest of that body.
 func (c *conn) send(head, payload []byte) (func() bool, error) {
 	rest := payload
-	if len(head)+len(payload) <= inlineBody {
+	if len(head)+len(payload) <= maxInlineRequest {
 		head = append(head, payload...)
 		rest = nil
 	}
@@ -210,17 +213,17 @@
 		return nil, eris.Wrapf(core.ErrNotSent, "write: %v", err)
 	}
 	if err != nil {
-		return nil, lost(err)
+		return nil, lostError(err)
 	}
 	if rest == nil {
 		return func() bool { return true }, nil
 	}
 	w := &bodyWriter{to: c, rest: rest, done: make(chan bool, 1)}
 	go w.run()
-	return w.whole, nil
+	return w.complete, nil
 }
 
-// bodyWriter writes a long body beside the reading of the answer.
+// bodyWriter writes a long request body concurrently with reading the answer.
 type bodyWriter struct {
 	to   io.Writer
 	rest []byte
@@ -232,8 +235,8 @@
 	w.done <- err == nil
 }
 
-// whole says whether all of the body has been written.
-func (w *bodyWriter) whole() bool {
+// complete reports whether all of the body has been written.
+func (w *bodyWriter) complete() bool {
 	select {
 	case ok := <-w.done:
 		return ok
@@ -242,22 +245,25 @@
 	}
 }
 
+// rawReply is the head of an answer, with its unread body and whether the runner
+// closes the connection after it.
 type rawReply struct {
 	core.Reply
 	raw     io.ReadCloser
 	closing bool
 }
 
-// read reads the head of the answer to request id. An answer with another id
-// is one that came late to a request before; it is skipped.
-func (c *Client) read(one *conn, id, method string) (*rawReply, error) {
-	for foreign := 0; ; {
-		resp, err := http.ReadResponse(one.in, &http.Request{Method: method})
+// read reads the head of the answer to request id. An answer with another id is a late
+// one to an earlier request on this connection and is skipped, up to maxForeignAnswers times.
+// An empty id accepts any answer.
+func (c *Client) read(cn *conn, id, method string) (*rawReply, error) {
+	for skipped := 0; ; {
+		resp, err := http.ReadResponse(cn.in, &http.Request{Method: method})
 		if err != nil {
 			return nil, err
 		}
 		if resp.StatusCode < http.StatusOK {
-			continue // interim answers have no body
+			continue // informational (1xx) answers have no body
 		}
 		info := c.dialect.ReadReply(resp.StatusCode, resp.Header)
 		if id == "" || info.RequestID == id {
@@ -267,8 +273,8 @@
 				closing: resp.Close || resp.ContentLength < 0 && len(resp.TransferEncoding) == 0,
 			}, nil
 		}
-		foreign++
-		if foreign > maxForeign {
+		skipped++
+		if skipped > maxForeignAnswers {
 			return nil, core.ErrForeign
 		}
 		if _, err := io.Copy(io.Discard, resp.Body); err != nil {
@@ -280,7 +286,8 @@
 	}
 }
 
-// call sends a call of the system's own and reads the whole answer.
+// call sends a report request or an order, which carry no request ID, and reads the
+// complete answer.
 func (c *Client) call(ctx context.Context, r *core.Runner, method, path string, instance string, payload []byte) (int, []byte, error) {
 	header := http.Header{}
 	if payload != nil {
@@ -295,15 +302,15 @@
 		return 0, nil, err
 	}
 	defer reply.Body.Close()
-	data, err := io.ReadAll(io.LimitReader(reply.Body, maxCall))
+	data, err := io.ReadAll(io.LimitReader(reply.Body, maxCallAnswer))
 	if err != nil {
 		return 0, nil, eris.Wrapf(core.ErrLost, "%v", err)
 	}
 	return reply.Status, data, nil
 }
 
-// Order sends an order to one instance of a runner. OrderUnknown comes with
-// the error that explains it.
+// Order sends an order to one instance of a runner. If the outcome is unknown because
+// sending failed, it returns OrderUnknown and the error.
 func (c *Client) Order(ctx context.Context, r *core.Runner, o core.RunnerOrder) (core.OrderResult, error) {
 	path, payload, err := c.dialect.WriteOrder(o)
 	if err != nil {
@@ -316,7 +323,8 @@
 	return c.dialect.ReadOrder(status), nil
 }
 
-// Report asks a runner what it holds and does.
+// Report fetches a runner's loaded models and its state. It fails with ErrReplaced if
+// another instance answers.
 func (c *Client) Report(ctx context.Context, r *core.Runner) (*core.Report, error) {
 	status, data, err := c.call(ctx, r, http.MethodGet, c.dialect.ReportPath(), r.ID, nil)
 	if err != nil {
--- a/protocol/runner/client_test.go
+++ b/protocol/runner/client_test.go
@@ -24,22 +24,23 @@
 
 const idHeader = "X-Primroseward-Request-Id"
 
-// raw is a runner that answers each request as a test writes it.
-type raw struct {
+// rawRunner is a runner whose answers are written byte by byte by the test.
+type rawRunner struct {
 	runner core.Runner
 	mu     sync.Mutex
 	seen   []string // request lines
 	conns  int
 }
 
-// serve calls answer with the number of a request, its connection and the
-// request; it returns false to close the connection.
-func serve(t *testing.T, answer func(n int, c net.Conn, r *http.Request) bool) *raw {
+// serve starts a runner that calls answer for each request, with the request's number
+// (counted from 1), its connection and the request. The connection is closed after
+// answer returns false.
+func serve(t *testing.T, answer func(n int, c net.Conn, r *http.Request) bool) *rawRunner {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
 	t.Cleanup(func() { _ = ln.Close() })
-	s := &raw{runner: core.Runner{ID: "i-1", Addr: netip.MustParseAddrPort(ln.Addr().String())}}
+	s := &rawRunner{runner: core.Runner{ID: "i-1", Addr: netip.MustParseAddrPort(ln.Addr().String())}}
 	go func() {
 		for {
 			c, err := ln.Accept()
@@ -49,13 +50,13 @@
 			s.mu.Lock()
 			s.conns++
 			s.mu.Unlock()
-			go s.one(c, answer)
+			go s.serveConn(c, answer)
 		}
 	}()
 	return s
 }
 
-func (s *raw) one(c net.Conn, answer func(int, net.Conn, *http.Request) bool) {
+func (s *rawRunner) serveConn(c net.Conn, answer func(int, net.Conn, *http.Request) bool) {
 	defer c.Close()
 	in := bufio.NewReader(c)
 	for {
@@ -74,7 +75,7 @@
 	}
 }
 
-func (s *raw) requests() int {
+func (s *rawRunner) requests() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return len(s.seen)
@@ -90,7 +91,7 @@
 	return &core.Request{ID: id, Method: http.MethodPost, Host: "h", Target: "/a%2Fb?x=1&&y", Header: http.Header{idHeader: {id}}, Body: []byte(body)}
 }
 
-func get(c *Client, s *raw, q *core.Request) (string, error) {
+func get(c *Client, s *rawRunner, q *core.Request) (string, error) {
 	reply, err := c.Send(context.Background(), &s.runner, q, core.Outgoing{Timeout: time.Second, Instance: "i-1", Priority: -1})
 	if err != nil {
 		return "", err
@@ -100,9 +101,9 @@
 	return string(data), err
 }
 
-// A belt is ordered twice: a library sends a request again when a reused
-// connection closes before the answer. It must arrive once, whatever its method,
-// and its outcome must be open.
+// Guards against running a request twice. http.Transport resends a request when a
+// reused connection closes before the answer. The request must arrive once, whatever
+// its method, and fail with ErrLost.
 func TestNoRequestIsSentAgain(t *testing.T) {
 	for _, method := range []string{http.MethodPost, http.MethodGet, http.MethodPut} {
 		s := serve(t, func(n int, c net.Conn, r *http.Request) bool {
@@ -124,9 +125,9 @@
 	}
 }
 
-// A request is run on a path that no caller named: escapes and empty parts of
-// the target are cleaned up on the way.
-func TestTargetAndBodyGoAsTheyCame(t *testing.T) {
+// Guards against normalizing the target: if escapes or empty parts of it were cleaned
+// up, the request would run on a path that the caller did not name.
+func TestTargetAndBodyAreSentUnchanged(t *testing.T) {
 	body := strings.Repeat("x", 40<<10)
 	s := serve(t, func(_ int, c net.Conn, r *http.Request) bool {
 		data, _ := io.ReadAll(r.Body)
@@ -138,25 +139,25 @@
 	assert.Equal(t, got, "/a%2Fb?x=1&&y h true")
 }
 
-// A caller gets another's answer: a runner answers a request a second time, or
-// late, on a connection that is used again.
+// Guards against giving a caller the answer to another request: a runner answers a
+// request a second time, or late, on a connection that is then reused.
 func TestAnswersOfOtherRequests(t *testing.T) {
 	cases := []struct {
 		name  string
 		extra func(c net.Conn, id string)
 	}{
-		{"at once after the answer", func(c net.Conn, id string) { reply(c, id, "again") }},
-		{"a moment later", func(c net.Conn, id string) {
+		{"second answer immediately", func(c net.Conn, id string) { reply(c, id, "again") }},
+		{"second answer after 20 ms", func(c net.Conn, id string) {
 			time.Sleep(20 * time.Millisecond)
 			reply(c, id, "again")
 		}},
-		{"bytes that are no answer", func(c net.Conn, _ string) { _, _ = io.WriteString(c, "garbage") }},
+		{"bytes that are not HTTP", func(c net.Conn, _ string) { _, _ = io.WriteString(c, "garbage") }},
 	}
-	for _, one := range cases {
+	for _, tc := range cases {
 		s := serve(t, func(_ int, c net.Conn, r *http.Request) bool {
 			id := r.Header.Get(idHeader)
 			reply(c, id, "answer "+id)
-			one.extra(c, id)
+			tc.extra(c, id)
 			return true
 		})
 		c := client()
@@ -164,14 +165,14 @@
 			id := fmt.Sprint("r", i)
 			got, err := get(c, s, request(id, ""))
 			if err == nil {
-				assert.Equal(t, got, "answer "+id, one.name)
+				assert.Equal(t, got, "answer "+id, tc.name)
 			}
 			time.Sleep(30 * time.Millisecond)
 		}
 	}
 }
 
-// The answer to the request before comes where this one's is due. It is told by
+// An answer to an earlier request precedes the answer to this one. It is recognized by
 // its id and skipped.
 func TestLateAnswerIsSkipped(t *testing.T) {
 	s := serve(t, func(_ int, c net.Conn, r *http.Request) bool {
@@ -184,39 +185,40 @@
 	assert.Equal(t, got, "yours")
 }
 
-// Half an answer passes for a whole one.
+// Guards against accepting a truncated answer as complete.
 func TestCutAnswersAreNotWhole(t *testing.T) {
 	head := "HTTP/1.1 200 OK\r\n" + idHeader + ": a\r\n"
 	cases := []struct {
 		name, text string
-		whole      bool
+		complete   bool
 	}{
-		{"short of its length", head + "Content-Length: 9\r\n\r\nok", false},
-		{"chunks without their end", head + "Transfer-Encoding: chunked\r\n\r\n2\r\nok\r\n", false},
-		{"no head", "HTTP/1.1 2", false},
-		{"nothing", "", false},
-		{"no answer in the protocol", "hello\r\n\r\n", false},
-		{"chunks", head + "Transfer-Encoding: chunked\r\n\r\n2\r\nok\r\n0\r\n\r\n", true},
-		{"ends with its connection", head + "\r\nok", true},
-		{"after an interim answer", "HTTP/1.1 103 Early Hints\r\n\r\n" + head + "Content-Length: 2\r\n\r\nok", true},
+		{"shorter than Content-Length", head + "Content-Length: 9\r\n\r\nok", false},
+		{"chunked without the last chunk", head + "Transfer-Encoding: chunked\r\n\r\n2\r\nok\r\n", false},
+		{"truncated status line", "HTTP/1.1 2", false},
+		{"empty", "", false},
+		{"not HTTP", "hello\r\n\r\n", false},
+		{"chunked", head + "Transfer-Encoding: chunked\r\n\r\n2\r\nok\r\n0\r\n\r\n", true},
+		{"ended by closing the connection", head + "\r\nok", true},
+		{"after an informational answer", "HTTP/1.1 103 Early Hints\r\n\r\n" + head + "Content-Length: 2\r\n\r\nok", true},
 	}
-	for _, one := range cases {
+	for _, tc := range cases {
 		s := serve(t, func(_ int, c net.Conn, _ *http.Request) bool {
-			_, _ = io.WriteString(c, one.text)
+			_, _ = io.WriteString(c, tc.text)
 			return false
 		})
 		got, err := get(client(), s, request("a", ""))
-		if one.whole {
-			assert.NilError(t, err, one.name)
-			assert.Equal(t, got, "ok", one.name)
+		if tc.complete {
+			assert.NilError(t, err, tc.name)
+			assert.Equal(t, got, "ok", tc.name)
 			continue
 		}
-		assert.Assert(t, err != nil, one.name)
+		assert.Assert(t, err != nil, tc.name)
 	}
 }
 
-// A runner takes the next request for the rest of a body: it answered before it
-// had read all of it, and the connection was used again.
+// Guards against reusing a connection whose request body is only partly written. A
+// runner may answer before it has read the whole body; it would then read the next
+// request as the rest of that body.
 func TestEarlyAnswerToALongBody(t *testing.T) {
 	var first sync.Once
 	s := serve(t, func(_ int, c net.Conn, r *http.Request) bool {
@@ -237,8 +239,9 @@
 	}
 }
 
-// A caller's leaving must reach the runner: its connection is closed at once.
-func TestLeavingClosesTheConnection(t *testing.T) {
+// When a caller disconnects, the runner must be able to stop work: cancelling the
+// request closes its connection at once.
+func TestCancelClosesTheConnection(t *testing.T) {
 	closed := make(chan struct{})
 	s := serve(t, func(_ int, c net.Conn, _ *http.Request) bool {
 		_, _ = c.Read(make([]byte, 1))
@@ -252,31 +255,31 @@
 	<-closed
 }
 
-func TestUnreachableIsNotSent(t *testing.T) {
+func TestUnreachableRunnerReturnsErrNotSent(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
-	s := &raw{runner: core.Runner{ID: "i-1", Addr: netip.MustParseAddrPort(ln.Addr().String())}}
+	s := &rawRunner{runner: core.Runner{ID: "i-1", Addr: netip.MustParseAddrPort(ln.Addr().String())}}
 	_ = ln.Close()
 	_, err = get(client(), s, request("a", ""))
 	assert.ErrorIs(t, err, core.ErrNotSent)
 }
 
-// A connection is used again while the runner keeps it, and not where the runner
-// says that it closes it.
+// A connection is reused for as long as the runner keeps it open, and never after an
+// answer that announces its closing.
 func TestConnectionsAreReused(t *testing.T) {
 	cases := []struct {
 		name, header string
 		conns        int
 	}{
 		{"kept", "", 1},
-		{"kept for some time", "Keep-Alive: timeout=5\r\n", 1},
-		{"kept for no time", "Keep-Alive: timeout=0\r\n", 3},
+		{"kept for 5 s", "Keep-Alive: timeout=5\r\n", 1},
+		{"kept for 0 s", "Keep-Alive: timeout=0\r\n", 3},
 		{"closed", "Connection: close\r\n", 3},
 	}
-	for _, one := range cases {
+	for _, tc := range cases {
 		s := serve(t, func(_ int, c net.Conn, r *http.Request) bool {
 			var b bytes.Buffer
-			fmt.Fprintf(&b, "HTTP/1.1 200 OK\r\n%s: %s\r\n%sContent-Length: 2\r\n\r\nok", idHeader, r.Header.Get(idHeader), one.header)
+			fmt.Fprintf(&b, "HTTP/1.1 200 OK\r\n%s: %s\r\n%sContent-Length: 2\r\n\r\nok", idHeader, r.Header.Get(idHeader), tc.header)
 			_, _ = c.Write(b.Bytes())
 			return true
 		})
@@ -285,7 +288,7 @@
 			_, err := get(c, s, request(fmt.Sprint("r", i), ""))
 			assert.NilError(t, err)
 		}
-		assert.Equal(t, s.conns, one.conns, one.name)
+		assert.Equal(t, s.conns, tc.conns, tc.name)
 	}
 }
 
@@ -313,10 +316,11 @@
 	}
 }
 
-// A runner that is only slow to take connections, or behind a cut, counts as crashed, and
-// its models are loaded elsewhere: just a refused connection says that its process has
-// ended, and the request has not been sent in either case.
-func TestRefusedConnectionIsTold(t *testing.T) {
+// Guards against counting a runner as crashed, and loading its models elsewhere, when it
+// is only slow to accept connections or behind a network partition. Only a refused
+// connection shows that the runner's process has exited. In both cases the request has
+// not been sent.
+func TestRefusedConnectionReturnsErrNoListener(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
 	closed := netip.MustParseAddrPort(ln.Addr().String())
--- a/protocol/runner/conn.go
+++ b/protocol/runner/conn.go
@@ -11,23 +11,24 @@
 	"time"
 )
 
+// readBuffer is the size of a connection's read buffer in bytes.
 const readBuffer = 4 << 10
 
 // conn is one connection to a runner. It carries one request at a time.
 type conn struct {
 	net.Conn
 	in      *bufio.Reader
-	expires time.Time // when the connection must not be used again
+	expires time.Time // from then on the connection must not be reused
 }
 
 func newConn(c net.Conn) *conn {
 	return &conn{Conn: c, in: bufio.NewReaderSize(c, readBuffer)}
 }
 
-// quiet says whether an idle connection is open and nothing has come on it.
-// The runner may have closed it, or have sent a second answer to the request
-// before; a request sent on it would be lost, or get that answer.
-func (c *conn) quiet() bool {
+// reusable reports whether an idle connection is open and has no unread data. If
+// the runner has closed it, the next request would be lost. If the runner has sent a
+// second answer to the previous request, the next request would get that answer.
+func (c *conn) reusable() bool {
 	if c.in.Buffered() > 0 {
 		return false
 	}
@@ -39,36 +40,37 @@
 	if err != nil {
 		return false
 	}
-	still := false
+	open := false
 	err = raw.Read(func(fd uintptr) bool {
 		var b [1]byte
-		_, rerr := syscall.Read(int(fd), b[:])
-		still = rerr == syscall.EAGAIN
-		return true // never waits: sockets are non-blocking
+		_, readErr := syscall.Read(int(fd), b[:])
+		open = readErr == syscall.EAGAIN
+		return true // do not wait for data; the socket is non-blocking
 	})
-	return err == nil && still
+	return err == nil && open
 }
 
-// keepFor is how long the runner keeps an idle connection open, less a margin
-// for a request that is on its way when the runner closes.
-func keepFor(h http.Header) time.Duration {
+// idleTimeout returns how long an idle connection may be reused, from the timeout in
+// the runner's Keep-Alive header. It is shorter than that timeout, since a request
+// may be in flight when the runner closes the connection.
+func idleTimeout(h http.Header) time.Duration {
 	for part := range strings.SplitSeq(h.Get("Keep-Alive"), ",") {
 		name, value, _ := strings.Cut(strings.TrimSpace(part), "=")
 		if !strings.EqualFold(name, "timeout") {
 			continue
 		}
 		if s, err := strconv.Atoi(value); err == nil {
-			return time.Duration(s) * time.Second * keepShare / 100
+			return time.Duration(s) * time.Second * idleTimeoutPercent / 100
 		}
 	}
-	return keepDefault
+	return defaultIdleTimeout
 }
 
-// body is an answer's body that gives its connection back when it was read to
-// its end, and drops the connection when it is closed before.
+// body is the body of an answer. Reading it to the end returns its connection to the
+// pool; an error or an earlier Close closes the connection.
 type body struct {
 	rc      io.ReadCloser
-	release func(whole bool)
+	release func(complete bool)
 	done    bool
 }
 
@@ -79,15 +81,15 @@
 	}
 	b.finish(err == io.EOF)
 	if err != io.EOF {
-		err = lost(err)
+		err = lostError(err)
 	}
 	return n, err
 }
 
-func (b *body) finish(whole bool) {
+func (b *body) finish(complete bool) {
 	if !b.done {
 		b.done = true
-		b.release(whole)
+		b.release(complete)
 	}
 }
 
