--- a/cmd/primrose-soak/main.go
+++ b/cmd/primrose-soak/main.go
@@ -1,6 +1,6 @@
-// Command primrose-soak plays seeds of the fault soak: real daemons as processes on
-// loopback, harmed from outside. It exits with 1 if a promise was broken, and leaves
-// the logs of each such seed.
+// Command primrose-soak runs seeds of the soak test: daemon processes on loopback into
+// which faults are injected from outside. It exits with 1 if a seed failed or violated a
+// guarantee, and keeps the logs of each such seed.
 package main
 
 import (
@@ -22,37 +22,37 @@
 	seeds, jobs, seed := 4, 2, uint64(0)
 	dir := filepath.Join(os.TempDir(), "soak")
 	flaggy.SetName("primrose-soak")
-	flaggy.SetDescription("plays random faults against real daemons and checks what callers and runners see")
+	flaggy.SetDescription("injects random faults into real daemons and checks what callers and runners observe")
 	flaggy.SetVersion(core.Version)
-	flaggy.String(&o.Binary, "b", "binary", "the daemon")
-	flaggy.String(&dir, "d", "dir", "where settings files and logs go")
-	flaggy.Int(&seeds, "n", "seeds", "how many seeds to play")
-	flaggy.Int(&jobs, "j", "jobs", "how many at the same time")
-	flaggy.UInt64(&seed, "s", "seed", "the first seed; 0: drawn")
+	flaggy.String(&o.Binary, "b", "binary", "path of the daemon's binary")
+	flaggy.String(&dir, "d", "dir", "directory for settings files and logs")
+	flaggy.Int(&seeds, "n", "seeds", "number of seeds to run")
+	flaggy.Int(&jobs, "j", "jobs", "number of seeds to run at the same time")
+	flaggy.UInt64(&seed, "s", "seed", "first seed; 0: random")
 	flaggy.Int(&o.Daemons, "", "daemons", "daemons in each run")
 	flaggy.Int(&o.Callers, "", "callers", "callers in each run")
-	flaggy.Duration(&o.Length, "l", "length", "how long things go wrong in each run")
+	flaggy.Duration(&o.Length, "l", "length", "how long faults are injected in each run")
 	flaggy.Parse()
 	if seed == 0 {
 		seed = rand.Uint64N(1e9)
 	}
-	p := &player{o: o, dir: dir}
-	p.play(seed, seeds, jobs)
-	fmt.Printf("%d seeds played, %d broken\n", seeds, p.broken)
-	if p.broken > 0 {
+	p := &seedRunner{opts: o, dir: dir}
+	p.runAll(seed, seeds, jobs)
+	fmt.Printf("%d seeds run, %d failed\n", seeds, p.failed)
+	if p.failed > 0 {
 		os.Exit(1)
 	}
 }
 
-// player plays seeds side by side.
-type player struct {
-	o      soak.Options
+// seedRunner runs seeds concurrently and counts those that failed.
+type seedRunner struct {
+	opts   soak.Options
 	dir    string
 	mu     sync.Mutex
-	broken int
+	failed int
 }
 
-func (p *player) play(first uint64, n, jobs int) {
+func (p *seedRunner) runAll(first uint64, n, jobs int) {
 	var wg sync.WaitGroup
 	slots := make(chan struct{}, jobs)
 	for i := range n {
@@ -61,14 +61,14 @@
 		go func() {
 			defer wg.Done()
 			defer func() { <-slots }()
-			p.one(first + uint64(i))
+			p.runSeed(first + uint64(i))
 		}()
 	}
 	wg.Wait()
 }
 
-func (p *player) one(seed uint64) {
-	o := p.o
+func (p *seedRunner) runSeed(seed uint64) {
+	o := p.opts
 	o.Seed, o.Dir = seed, filepath.Join(p.dir, fmt.Sprint(seed))
 	err := os.MkdirAll(o.Dir, 0o700)
 	var r *soak.Report
@@ -78,21 +78,21 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if err != nil {
-		p.broken++
+		p.failed++
 		fmt.Printf("seed %d: %v\n", seed, err)
 		return
 	}
 	fmt.Printf("seed %d: %d asked, %d served, %d refused, %d lost; calm: %d of %d\n", seed, r.Asked, r.Served, r.Refused, r.Lost, r.CalmGood, r.InCalm)
 	if len(r.Wrong) == 0 {
-		_ = os.RemoveAll(o.Dir) // left-over logs harm nobody
+		_ = os.RemoveAll(o.Dir) // a failure only leaves logs behind
 		return
 	}
-	p.broken++
+	p.failed++
 	for _, line := range r.Wrong {
-		fmt.Println("  broken:", line)
+		fmt.Println("  violation:", line)
 	}
 	for _, line := range r.Events {
-		fmt.Println("  event: ", line)
+		fmt.Println("  event:    ", line)
 	}
-	fmt.Println("  logs:  ", o.Dir)
+	fmt.Println("  logs:     ", o.Dir)
 }
--- a/cmd/primrose-standin/engine.go
+++ b/cmd/primrose-standin/engine.go
@@ -19,10 +19,10 @@
 	token := 5 * time.Millisecond
 	load := 500 * time.Millisecond
 	c := flaggy.NewSubcommand("engine")
-	c.Description = "a model engine whose answers follow from the prompt"
+	c.Description = "a model engine whose answers are a function of the prompt"
 	c.String(&addr, "a", "addr", "IP:port to listen on")
 	c.String(&memory, "m", "memory", "accelerator memory")
-	c.Int(&slots, "s", "slots", "requests at once")
+	c.Int(&slots, "s", "slots", "requests served at the same time")
 	c.Bool(&fenced, "f", "fenced", "refuse orders with old fencing numbers")
 	c.Duration(&token, "t", "token", "time between tokens")
 	c.Duration(&load, "l", "load", "time to load a model")
--- a/cmd/primrose-standin/main.go
+++ b/cmd/primrose-standin/main.go
@@ -1,5 +1,5 @@
-// Command primrose-standin plays the systems around primroseward for tests and
-// the demo: the platform's object API, a model engine and a plain service.
+// Command primrose-standin runs stand-ins, for tests and the demo, for the systems around
+// primroseward: the platform's object API, a model engine and a plain service.
 package main
 
 import (
@@ -32,11 +32,11 @@
 	case service.Used:
 		runService()
 	default:
-		flaggy.ShowHelpAndExit("name a stand-in")
+		flaggy.ShowHelpAndExit("missing stand-in: platform, engine or service")
 	}
 }
 
-// listen serves until the process is stopped.
+// listen serves h on addr until the process is stopped, and exits with 1 if it cannot.
 func listen(addr string, h http.Handler) {
 	s := &http.Server{Addr: addr, Handler: h, ReadHeaderTimeout: 10 * time.Second}
 	if err := s.ListenAndServe(); err != nil {
--- a/cmd/primrosectl/client.go
+++ b/cmd/primrosectl/client.go
@@ -20,7 +20,7 @@
 
 const callTimeout = 15 * time.Second
 
-// client calls one daemon's admin listener.
+// client calls the admin API of one daemon, or of the store if --store is set.
 type client struct {
 	*globals
 	http *http.Client
@@ -41,17 +41,17 @@
 	return c, nil
 }
 
-// failure is an error answer of the daemon.
-type failure struct {
+// apiError is an error answer of the admin API.
+type apiError struct {
 	status int
 	admin.Problem
 }
 
-func (f *failure) Error() string {
+func (f *apiError) Error() string {
 	lines := append([]string{f.Problem.Error}, f.Problems...)
 	if f.Winner != nil {
 		node, _ := json.MarshalIndent(f.Winner.Node, "", "  ")
-		lines = append(lines, fmt.Sprintf("%s is now, at version %d:", f.Winner.Path, f.Winner.Version), string(node))
+		lines = append(lines, fmt.Sprintf("%s is at version %d and contains:", f.Winner.Path, f.Winner.Version), string(node))
 	}
 	return strings.Join(lines, "\n")
 }
@@ -61,8 +61,9 @@
 	errLagging = errors.New("accepted, but not in force everywhere within the time")
 )
 
-func codeOf(err error) int {
-	var f *failure
+// exitCode returns the process's exit code for an error.
+func exitCode(err error) int {
+	var f *apiError
 	switch {
 	case errors.Is(err, errUsage):
 		return exitUsage
@@ -87,6 +88,7 @@
 	}
 }
 
+// call sends in as JSON, unless it is nil, and decodes the answer into out.
 func (c *client) call(method, path string, query url.Values, in, out any) error {
 	var body io.Reader
 	if in != nil {
@@ -104,11 +106,11 @@
 	req.Header.Set(admin.HeaderOperator, c.by)
 	resp, err := c.http.Do(req)
 	if err != nil {
-		return &failure{status: http.StatusServiceUnavailable, Problem: admin.Problem{Error: err.Error()}}
+		return &apiError{status: http.StatusServiceUnavailable, Problem: admin.Problem{Error: err.Error()}}
 	}
 	defer resp.Body.Close()
 	if resp.StatusCode >= http.StatusBadRequest {
-		f := &failure{status: resp.StatusCode}
+		f := &apiError{status: resp.StatusCode}
 		if json.NewDecoder(resp.Body).Decode(&f.Problem) != nil {
 			f.Problem.Error = resp.Status
 		}
@@ -117,14 +119,14 @@
 	return json.NewDecoder(resp.Body).Decode(out)
 }
 
-// printJSON writes a value as JSON.
+// printJSON writes a value as indented JSON to standard output.
 func printJSON(v any) error {
 	enc := json.NewEncoder(os.Stdout)
 	enc.SetIndent("", "  ")
 	return enc.Encode(v)
 }
 
-// table writes rows in columns.
+// table writes a header and rows to standard output in aligned columns.
 func table(header string, rows [][]string) {
 	w := tabwriter.NewWriter(os.Stdout, 0, 4, 2, ' ', 0)
 	fmt.Fprintln(w, header)
@@ -134,4 +136,4 @@
 	_ = w.Flush()
 }
 
-func adminProblem(text string) admin.Problem { return admin.Problem{Error: text} }
+func problem(text string) admin.Problem { return admin.Problem{Error: text} }
--- a/cmd/primrosectl/follow.go
+++ b/cmd/primrosectl/follow.go
@@ -10,10 +10,10 @@
 	"primroseward/io/logs"
 )
 
-// followCommand reads a file of logs of one or several daemons; it asks none.
+// followCommand reads a file with the logs of one or several daemons; it calls no daemon.
 func followCommand() command {
 	s := flaggy.NewSubcommand("follow")
-	s.Description = "show a request's way, and what was known on it, from a file of logs"
+	s.Description = "show the log lines of a request, and of the runners and dependencies it used, from a file of logs"
 	var request, file string
 	s.AddPositionalValue(&request, "ID", 1, true, "the caller's request id")
 	s.AddPositionalValue(&file, "FILE", 2, true, "logs of one or several daemons")
@@ -24,7 +24,7 @@
 		}
 		found := logs.Follow(lines, request)
 		if len(found) == 0 {
-			return eris.Wrapf(core.ErrNotFound, "no line on request %s; lines may have been left out, look for %q", request, logs.LinesLeftOut)
+			return eris.Wrapf(core.ErrNotFound, "no log line for request %s; some lines may have been left out, look for %q", request, logs.LinesLeftOut)
 		}
 		if c.json {
 			return printJSON(found)
@@ -33,7 +33,7 @@
 	}}
 }
 
-// readLogs reads a file of logs.
+// readLogs reads the log lines of a file.
 func readLogs(file string) ([]logs.Line, error) {
 	in, err := os.Open(file)
 	if err != nil {
--- a/cmd/primrosectl/holds.go
+++ b/cmd/primrosectl/holds.go
@@ -13,7 +13,7 @@
 func holdsCommand() command {
 	var digest string
 	s := flaggy.NewSubcommand("holds")
-	s.Description = "show the requests that are held back as runners ended under them"
+	s.Description = "show the requests that are quarantined because runners exited while running them"
 	release := flaggy.NewSubcommand("release")
 	release.Description = "let a request be served again"
 	release.AddPositionalValue(&digest, "digest", 1, true, "the request's digest, as listed")
--- a/cmd/primrosectl/limits.go
+++ b/cmd/primrosectl/limits.go
@@ -13,7 +13,7 @@
 
 func limitsCommand() command {
 	s := flaggy.NewSubcommand("limits")
-	s.Description = "show the limits that runners name, and the rates of the settings, as a daemon knows them"
+	s.Description = "show the limits that runners send and those of the settings tree, as one daemon sees them"
 	return command{s, func(c *client) error {
 		var got []limits.Status
 		if err := c.call(http.MethodGet, "/admin/limits", nil, nil, &got); err != nil {
@@ -29,8 +29,8 @@
 				from = "itself"
 			}
 			rows = append(rows, []string{
-				l.Name, amount(l.Rate), fmt.Sprintf("%.1f", l.Asked), fmt.Sprintf("%.1f", l.Sent), fmt.Sprintf("%.1f", l.Left),
-				fmt.Sprintf("%.0f%%", 100*l.Share), strconv.FormatInt(l.Refused, 10), from, ago(l.Heard),
+				l.Name, formatNumber(l.Rate), fmt.Sprintf("%.1f", l.Asked), fmt.Sprintf("%.1f", l.Sent), fmt.Sprintf("%.1f", l.Left),
+				fmt.Sprintf("%.0f%%", 100*l.Share), strconv.FormatInt(l.Refused, 10), from, formatSeconds(l.Heard),
 			})
 		}
 		table("NAME\tRATE\tASKED\tSENT\tLEFT\tSHARE\tREFUSED\tFROM\tHEARD", rows)
@@ -38,7 +38,7 @@
 	}}
 }
 
-// ago is a time in seconds as operators read it.
-func ago(seconds float64) string {
+// formatSeconds formats a time in seconds, rounded to 100 ms.
+func formatSeconds(seconds float64) string {
 	return time.Duration(seconds * float64(time.Second)).Round(100 * time.Millisecond).String()
 }
--- a/cmd/primrosectl/losses.go
+++ b/cmd/primrosectl/losses.go
@@ -8,7 +8,7 @@
 	"primroseward/io/logs"
 )
 
-// lossesCommand reads a file of logs of one or several daemons; it asks none.
+// lossesCommand reads a file with the logs of one or several daemons; it calls no daemon.
 func lossesCommand() command {
 	s := flaggy.NewSubcommand("losses")
 	s.Description = "show which requests were late, refused or lost, and when, from a file of logs"
--- a/cmd/primrosectl/main.go
+++ b/cmd/primrosectl/main.go
@@ -1,4 +1,4 @@
-// Command primrosectl is the operators' client.
+// Command primrosectl is the operators' command-line client.
 package main
 
 import (
@@ -15,7 +15,7 @@
 	exitFailed      = 1 // anything else
 	exitUsage       = 2
 	exitRefused     = 3 // the settings are refused
-	exitConflict    = 4 // another edit was first
+	exitConflict    = 4 // another edit was made first
 	exitNotFound    = 5
 	exitUnavailable = 6 // the daemon or the platform does not answer
 	exitLagging     = 7 // accepted, but not yet in force everywhere
@@ -30,7 +30,7 @@
 	by    string
 }
 
-// command is one subcommand with what runs it.
+// command is a subcommand and the function that runs it.
 type command struct {
 	*flaggy.Subcommand
 	run func(*client) error
@@ -39,10 +39,10 @@
 func main() {
 	g := &globals{admin: "127.0.0.1:7201", token: os.Getenv("PRIMROSE_TOKEN"), by: os.Getenv("USER")}
 	flaggy.SetName("primrosectl")
-	flaggy.SetDescription("edits the settings tree and reads back what is in force")
+	flaggy.SetDescription("edits the settings tree and shows the settings in force")
 	flaggy.SetVersion(core.Version)
 	flaggy.String(&g.admin, "a", "admin", "a daemon's admin address, IP:port")
-	flaggy.String(&g.store, "", "store", "the platform's store, IP:port: edit the tree there, for daemons that take no edits")
+	flaggy.String(&g.store, "", "store", "the platform's store, IP:port; edits the tree there, for daemons that accept no edits")
 	flaggy.String(&g.token, "", "token", "operators' token; PRIMROSE_TOKEN by default")
 	flaggy.String(&g.by, "", "by", "name that edits are logged under")
 	flaggy.Bool(&g.json, "j", "json", "print JSON")
@@ -72,5 +72,5 @@
 		os.Exit(0)
 	}
 	fmt.Fprintln(os.Stderr, err)
-	os.Exit(codeOf(err))
+	os.Exit(exitCode(err))
 }
--- a/cmd/primrosectl/runners.go
+++ b/cmd/primrosectl/runners.go
@@ -19,14 +19,14 @@
 	f := &treeFlags{version: -1}
 	var name string
 	s := flaggy.NewSubcommand("runners")
-	s.Description = "show each runner's memory and work"
+	s.Description = "show each runner's memory, requests and models"
 	drain := flaggy.NewSubcommand("drain")
-	drain.Description = "give a runner no new work and move its models away"
+	drain.Description = "send a runner no new requests and move its models to other runners"
 	resume := flaggy.NewSubcommand("resume")
-	resume.Description = "give a drained runner work again"
+	resume.Description = "send requests to a drained runner again"
 	for _, sub := range []*flaggy.Subcommand{drain, resume} {
 		sub.AddPositionalValue(&name, "name", 1, true, "the runner")
-		s.AttachSubcommand(f.edits(sub), 1)
+		s.AttachSubcommand(f.addEditFlags(sub), 1)
 	}
 	return command{s, func(c *client) error {
 		if drain.Used || resume.Used {
@@ -59,16 +59,16 @@
 			state = "leaving"
 		}
 		rows = append(rows, []string{
-			r.Runner, r.Place, r.Owner, state, size(r.Capacity), size(r.Committed), size(r.Reserved), size(r.Quarantined), size(r.Free),
+			r.Runner, r.Place, r.Owner, state, formatGB(r.Capacity), formatGB(r.Committed), formatGB(r.Reserved), formatGB(r.Quarantined), formatGB(r.Free),
 			fmt.Sprintf("%d+%d/%d", r.Running, r.Queued, r.Slots), strings.Join(models, " "),
 		})
 	}
 	table("RUNNER\tPLACE\tOWNER\tSTATE\tMEMORY\tCOMMITTED\tRESERVED\tQUARANTINED\tFREE\tWORK\tMODELS", rows)
 }
 
-func size(n int64) string { return strconv.FormatFloat(float64(n)/1e9, 'f', 1, 64) + "GB" }
+func formatGB(n int64) string { return strconv.FormatFloat(float64(n)/1e9, 'f', 1, 64) + "GB" }
 
-// setDrain edits the endpoint's entry where the tree has it.
+// setDrain sets the drain field of the runner's endpoint entry, in the branch that has it.
 func (f *treeFlags) setDrain(c *client, runner string, drain bool) error {
 	var s service.Status
 	if err := c.call(http.MethodGet, "/admin/status", nil, nil, &s); err != nil {
@@ -86,24 +86,26 @@
 		}
 		e.Drain = drain
 		got.Node.Endpoints[runner] = e
-		f.noteIf(drain, "drain "+runner, "resume "+runner)
-		return f.put(c, got)
+		f.defaultNote(drain, "drain "+runner, "resume "+runner)
+		return f.putNode(c, got)
 	}
-	return &failure{status: http.StatusNotFound, Problem: adminProblem(fmt.Sprintf("runner %q is at no branch's top node", runner))}
+	return &apiError{status: http.StatusNotFound, Problem: problem(fmt.Sprintf("runner %q is not in the top node of any branch", runner))}
 }
 
-// noteIf sets the edit's note, unless the operator gave one.
-func (f *treeFlags) noteIf(first bool, one, other string) {
+// defaultNote sets the edit's note to yes if set is true and to no otherwise, unless the
+// operator gave one.
+func (f *treeFlags) defaultNote(set bool, yes, no string) {
 	switch {
 	case f.note != "":
-	case first:
-		f.note = one
+	case set:
+		f.note = yes
 	default:
-		f.note = other
+		f.note = no
 	}
 }
 
-func (f *treeFlags) put(c *client, got service.Got) error {
+// putNode replaces a node that was read before, if its branch has not changed since.
+func (f *treeFlags) putNode(c *client, got service.Got) error {
 	node, err := json.Marshal(got.Node)
 	if err != nil {
 		return err
@@ -118,11 +120,11 @@
 	s := flaggy.NewSubcommand("moves")
 	s.Description = "show loads and evictions under way"
 	pause := flaggy.NewSubcommand("pause")
-	pause.Description = "make only the moves that keep models reachable"
+	pause.Description = "allow only moves that keep models reachable"
 	resume := flaggy.NewSubcommand("resume")
-	resume.Description = "make all moves again"
-	s.AttachSubcommand(f.edits(pause), 1)
-	s.AttachSubcommand(f.edits(resume), 1)
+	resume.Description = "allow all moves again"
+	s.AttachSubcommand(f.addEditFlags(pause), 1)
+	s.AttachSubcommand(f.addEditFlags(resume), 1)
 	return command{s, func(c *client) error {
 		if pause.Used || resume.Used {
 			return f.setPause(c, pause.Used)
@@ -143,17 +145,18 @@
 	}}
 }
 
+// setPause sets the pause field of the root's store settings.
 func (f *treeFlags) setPause(c *client, pause bool) error {
 	var got service.Got
 	if err := c.call(http.MethodGet, "/admin/tree", url.Values{"path": {tree.Root}}, nil, &got); err != nil {
 		return err
 	}
 	if got.Node.Store == nil {
-		return &failure{status: http.StatusNotFound, Problem: adminProblem("the root has no store")}
+		return &apiError{status: http.StatusNotFound, Problem: problem("the root node has no store settings")}
 	}
 	got.Node.Store.Pause = pause
-	f.noteIf(pause, "pause moves", "resume moves")
-	return f.put(c, got)
+	f.defaultNote(pause, "pause moves", "resume moves")
+	return f.putNode(c, got)
 }
 
 func requestsCommand() command {
--- a/cmd/primrosectl/status.go
+++ b/cmd/primrosectl/status.go
@@ -14,7 +14,7 @@
 
 func statusCommand() command {
 	s := flaggy.NewSubcommand("status")
-	s.Description = "show what is accepted, what is in force and who lags"
+	s.Description = "show which settings are accepted, which are in force and which daemons lag"
 	return command{s, func(c *client) error {
 		var got service.Status
 		if err := c.call(http.MethodGet, "/admin/status", nil, nil, &got); err != nil {
@@ -33,7 +33,7 @@
 	var rows [][]string
 	for _, m := range s.Members {
 		rows = append(rows, []string{
-			m.Name, m.Place, m.State, yes(m.Reached), strconv.Itoa(m.Behind), m.Fresh, strconv.Itoa(m.Running), strconv.Itoa(m.Queued), strings.Join(m.Runners, ","), roles(m),
+			m.Name, m.Place, m.State, formatBool(m.Reached), strconv.Itoa(m.Behind), m.Fresh, strconv.Itoa(m.Running), strconv.Itoa(m.Queued), strings.Join(m.Runners, ","), roles(m),
 		})
 	}
 	table("MEMBER\tPLACE\tSTATE\tREACHED\tBEHIND\tCONFIRMED\tRUNNING\tQUEUED\tOWNS\tROLES", rows)
@@ -56,7 +56,7 @@
 	}
 }
 
-func yes(b bool) string {
+func formatBool(b bool) string {
 	if b {
 		return "yes"
 	}
--- a/cmd/primrosectl/store.go
+++ b/cmd/primrosectl/store.go
@@ -18,17 +18,18 @@
 	"primroseward/transport/admin"
 )
 
-// storeRoutes are the calls that the store alone can answer.
+// storeRoutes are the paths that need only the store.
 var storeRoutes = []string{"/admin/tree", "/admin/history", "/admin/holds"}
 
-// storeTransport answers calls on the settings tree from the platform's store,
-// with the code of the daemons' own operators' API, and sends all others to a
-// daemon. Operators whose daemons take no edits change the tree this way.
+// storeTransport serves calls on storeRoutes from the platform's store, with the admin
+// API's code running in this process, and sends all others to a daemon. Operators
+// use it to edit the tree if their daemons accept no edits.
 type storeTransport struct {
 	local  http.Handler
 	daemon http.RoundTripper
 }
 
+// newStoreTransport reads the tree and the configuration from the store at an address.
 func newStoreTransport(ctx context.Context, store string) (*storeTransport, error) {
 	addr, err := netip.ParseAddrPort(store)
 	if err != nil {
@@ -56,17 +57,18 @@
 	}
 	offered := func(kind, name string) bool { return config.Offers(kind == tree.ElemService, name) }
 	api := &admin.Admin{
-		Trees: service.New(replica, client, ignore{}, clock, service.WithOffered(offered)),
+		Trees: service.New(replica, client, discard{}, clock, service.WithOffered(offered)),
 		Holds: holds.NewStore(client, clock), Metrics: http.NotFoundHandler(),
 	}
 	return &storeTransport{local: api.Handler(), daemon: http.DefaultTransport}, nil
 }
 
-// ignore drops what an edit has written: the process ends after it.
-type ignore struct{}
+// discard ignores the branches that an edit has written: the process exits after the
+// edit and keeps no copy of the tree.
+type discard struct{}
 
 // Take implements service.Taker.
-func (ignore) Take([]tree.Branch) {}
+func (discard) Take([]tree.Branch) {}
 
 // RoundTrip implements http.RoundTripper.
 func (t *storeTransport) RoundTrip(r *http.Request) (*http.Response, error) {
--- a/cmd/primrosectl/tree.go
+++ b/cmd/primrosectl/tree.go
@@ -17,6 +17,7 @@
 	"primroseward/transport/admin"
 )
 
+// waitPoll is the interval at which the status is read while waiting.
 const waitPoll = 250 * time.Millisecond
 
 // treeFlags are the flags of the tree subcommands.
@@ -49,7 +50,8 @@
 	}}
 }
 
-func (f *treeFlags) sub(name, description string, path bool) *flaggy.Subcommand {
+// subcommand makes a subcommand, with a positional path if path is set.
+func (f *treeFlags) subcommand(name, description string, path bool) *flaggy.Subcommand {
 	s := flaggy.NewSubcommand(name)
 	s.Description = description
 	if path {
@@ -61,7 +63,7 @@
 func (f *treeFlags) query() url.Values { return url.Values{"path": {f.path}} }
 
 func (f *treeFlags) get() command {
-	return command{f.sub("get", "print a node and its branch's version", true), func(c *client) error {
+	return command{f.subcommand("get", "print a node and its branch's version", true), func(c *client) error {
 		var got service.Got
 		if err := c.call(http.MethodGet, "/admin/tree", f.query(), nil, &got); err != nil {
 			return err
@@ -71,21 +73,22 @@
 		}
 		fmt.Printf("%s  branch %s  version %d\n", got.Path, got.Branch, got.Version)
 		if got.Stale {
-			fmt.Println("the platform does not answer; this is what is in force here")
+			fmt.Println("the platform does not answer; this is the node in force at the daemon")
 		}
 		return printJSON(got.Node)
 	}}
 }
 
-func (f *treeFlags) edits(s *flaggy.Subcommand) *flaggy.Subcommand {
-	s.Int(&f.version, "", "from", "version of the branch that the edit was made from; the newest by default")
+// addEditFlags adds the flags that all edits share.
+func (f *treeFlags) addEditFlags(s *flaggy.Subcommand) *flaggy.Subcommand {
+	s.Int(&f.version, "", "from", "branch version that the edit is based on; the newest by default")
 	s.String(&f.note, "", "note", "reason, for the history")
 	s.Duration(&f.wait, "w", "wait", "wait until in force everywhere, at most this long")
 	return s
 }
 
 func (f *treeFlags) set() command {
-	s := f.edits(f.sub("set", "replace a node by the JSON of a file", true))
+	s := f.addEditFlags(f.subcommand("set", "replace a node with the JSON in a file", true))
 	s.String(&f.file, "f", "file", "file with the node; - for standard input")
 	return command{s, func(c *client) error {
 		node, err := readFile(f.file)
@@ -97,10 +100,11 @@
 }
 
 func (f *treeFlags) delete() command {
-	s := f.edits(f.sub("delete", "remove a node below a branch", true))
+	s := f.addEditFlags(f.subcommand("delete", "remove a node below a branch", true))
 	return command{s, func(c *client) error { return f.edit(c, nil) }}
 }
 
+// readFile reads a file, or standard input if the name is "-".
 func readFile(name string) (json.RawMessage, error) {
 	if name == "" {
 		return nil, fmt.Errorf("%w: --file must be set", errUsage)
@@ -111,11 +115,12 @@
 	return os.ReadFile(name)
 }
 
+// edit writes a node, or removes it if node is nil, and waits as --wait says.
 func (f *treeFlags) edit(c *client, node json.RawMessage) error {
 	version := uint64(max(0, f.version))
 	if f.version < 0 {
 		var err error
-		if version, err = f.newest(c); err != nil {
+		if version, err = f.newestVersion(c); err != nil {
 			return err
 		}
 	}
@@ -128,11 +133,11 @@
 		return err
 	}
 	fmt.Printf("accepted: branch %s version %d\n", got.Branch, got.Version)
-	return f.await(c)
+	return f.waitInForce(c)
 }
 
-// newest returns the version of the path's branch; 0 if there is none yet.
-func (f *treeFlags) newest(c *client) (uint64, error) {
+// newestVersion returns the version of the path's branch, or 0 if there is none yet.
+func (f *treeFlags) newestVersion(c *client) (uint64, error) {
 	p, ok := tree.ParsePath(f.path)
 	if !ok {
 		return 0, fmt.Errorf("%w: path: want /service/NAME, /model/NAME or /place/NAME and so on", errUsage)
@@ -140,14 +145,15 @@
 	top := p[:min(len(p), 1)]
 	var got service.Got
 	err := c.call(http.MethodGet, "/admin/tree", url.Values{"path": {top.String()}}, nil, &got)
-	if err != nil && codeOf(err) != exitNotFound {
+	if err != nil && exitCode(err) != exitNotFound {
 		return 0, err
 	}
 	return got.Version, nil
 }
 
-// await polls until the accepted settings are in force everywhere.
-func (f *treeFlags) await(c *client) error {
+// waitInForce polls until the accepted settings are in force everywhere, for at most the
+// time of --wait.
+func (f *treeFlags) waitInForce(c *client) error {
 	if f.wait <= 0 {
 		return nil
 	}
@@ -167,7 +173,7 @@
 }
 
 func (f *treeFlags) diff() command {
-	s := f.sub("diff", "compare a node with the JSON of a file", true)
+	s := f.subcommand("diff", "compare a node with the JSON in a file", true)
 	s.String(&f.file, "f", "file", "file with the node; - for standard input")
 	return command{s, func(c *client) error {
 		data, err := readFile(f.file)
@@ -189,7 +195,8 @@
 	}}
 }
 
-// diffLines lists the values that differ, "-" the stored, "+" the file's.
+// diffLines lists the values that differ, the stored ones with "-" and the file's with
+// "+".
 func diffLines(have, want any) []string {
 	a, b := flatten(have), flatten(want)
 	var out []string
@@ -212,6 +219,7 @@
 	return out
 }
 
+// flatten maps the path of each value in v's JSON encoding to the value's JSON.
 func flatten(v any) map[string]string {
 	data, _ := json.Marshal(v)
 	var raw any
@@ -234,7 +242,7 @@
 }
 
 func (f *treeFlags) apply() command {
-	s := f.sub("apply", "write a whole tree from a file, branch by branch", false)
+	s := f.subcommand("apply", "write a whole tree from a file, branch by branch", false)
 	s.String(&f.file, "f", "file", "file with the root node; - for standard input")
 	s.Duration(&f.wait, "w", "wait", "wait until in force everywhere, at most this long")
 	return command{s, func(c *client) error {
@@ -247,12 +255,12 @@
 			return err
 		}
 		fmt.Printf("accepted: %d branches\n", len(got))
-		return f.await(c)
+		return f.waitInForce(c)
 	}}
 }
 
 func (f *treeFlags) history() command {
-	return command{f.sub("history", "list the latest edits of a path's branch", true), func(c *client) error {
+	return command{f.subcommand("history", "list the latest edits of a path's branch", true), func(c *client) error {
 		var log []tree.Edit
 		if err := c.call(http.MethodGet, "/admin/history", f.query(), nil, &log); err != nil {
 			return err
@@ -270,7 +278,7 @@
 }
 
 func (f *treeFlags) explain() command {
-	s := f.sub("explain", "show the values in force and where they come from", false)
+	s := f.subcommand("explain", "show the values in force and where they come from", false)
 	s.String(&f.service, "s", "service", "service")
 	s.String(&f.model, "m", "model", "model")
 	s.String(&f.place, "p", "place", "place")
--- a/cmd/primrosectl/workspaces.go
+++ b/cmd/primrosectl/workspaces.go
@@ -13,7 +13,7 @@
 
 func workspacesCommand() command {
 	s := flaggy.NewSubcommand("workspaces")
-	s.Description = "show the workspaces' allowances as a daemon knows them"
+	s.Description = "show the allowances of the workspaces, as one daemon sees them"
 	return command{s, func(c *client) error {
 		var got []workspaces.Status
 		if err := c.call(http.MethodGet, "/admin/workspaces", nil, nil, &got); err != nil {
@@ -29,7 +29,7 @@
 				state = "invalid"
 			}
 			rows = append(rows, []string{
-				w.Name, state, amount(w.Rate), amount(w.Burst), w.Unit, amount(w.Asked), amount(w.Spent), amount(w.Left),
+				w.Name, state, formatNumber(w.Rate), formatNumber(w.Burst), w.Unit, formatNumber(w.Asked), formatNumber(w.Spent), formatNumber(w.Left),
 				strconv.FormatFloat(w.Share, 'f', 2, 64), fmt.Sprint(w.Refused), w.Age, strings.Join(w.Keys, " "),
 			})
 		}
@@ -38,4 +38,4 @@
 	}}
 }
 
-func amount(v float64) string { return strconv.FormatFloat(v, 'f', -1, 64) }
+func formatNumber(v float64) string { return strconv.FormatFloat(v, 'f', -1, 64) }
--- a/cmd/primrosed/main.go
+++ b/cmd/primrosed/main.go
@@ -28,7 +28,7 @@
 )
 
 func main() {
-	// A signal that the settings have changed ends a process that does not expect it yet.
+	// Register for SIGHUP first: until then its default action terminates the process.
 	hup := make(chan os.Signal, 1)
 	signal.Notify(hup, syscall.SIGHUP)
 	var config string
@@ -57,8 +57,8 @@
 	}
 }
 
-// run serves until a signal to stop. The first one begins a graceful stop, a
-// second one cuts what is left. SIGHUP reads the settings file again.
+// run serves until SIGTERM or SIGINT. The first of these begins a graceful stop, a second
+// one aborts the remaining requests. SIGHUP reloads the settings file.
 func run(set *setting.Setting, config string, hup <-chan os.Signal) error {
 	out := logs.NewWriter(os.Stdout, clockwork.NewRealClock())
 	defer out.Close()
@@ -68,25 +68,26 @@
 		return err
 	}
 	out.Start(log)
-	first, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
+	graceful, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
 	defer stop()
 	d.Start()
 	for serving := true; serving; {
 		select {
-		case <-first.Done():
+		case <-graceful.Done():
 			serving = false
 		case <-hup:
 			reload(d, config, log)
 		}
 	}
 	stop()
-	second, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
+	forced, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
 	defer stop()
-	d.Stop(second)
+	d.Stop(forced)
 	return nil
 }
 
-// reload reads the settings file again. One with faults changes nothing.
+// reload reads the settings file again. If it is invalid, the previous settings stay in
+// use.
 func reload(d server, config string, log *zap.Logger) {
 	set, err := setting.Load(config)
 	if err != nil {
@@ -96,14 +97,15 @@
 	d.Reload(set)
 }
 
-// server is a daemon: one that serves through the platform's fleet of runners,
-// or one that serves the endpoints of its own settings tree.
+// server is a daemon of either kind: one serves through the platform's fleet of runners,
+// the other the endpoints in its own settings tree.
 type server interface {
 	Start()
 	Reload(set *setting.Setting)
 	Stop(ctx context.Context)
 }
 
+// newDaemon makes the kind of daemon that the settings select.
 func newDaemon(set *setting.Setting, log *zap.Logger, out *logs.Writer) (server, error) {
 	if set.Fleet == nil {
 		return daemon.New(set, log)
--- a/protocol/runner/client.go
+++ b/protocol/runner/client.go
@@ -74,7 +74,7 @@
 	return c
 }
 
-// Forget closes the idle connections of a runner that has exited.
+// Forget closes the idle connections to a runner that has left the catalog.
 func (c *Client) Forget(id string) {
 	c.mu.Lock()
 	idle := c.pools[id]
