--- a/standin/engine/chat.go
+++ b/standin/engine/chat.go
@@ -19,8 +19,8 @@
 
 const (
 	defaultTokens = 16
-	streamKept    = time.Minute
-	maxBody       = 64 << 20
+	streamTTL     = time.Minute // how long a stream can be resumed
+	maxBody       = 64 << 20    // bytes
 )
 
 type message struct {
@@ -37,7 +37,7 @@
 	Continue  bool      `json:"continue_final_message"`
 }
 
-// Text is the whole answer to a prompt of n tokens, as tests expect it.
+// Text returns the complete answer of n tokens to a prompt, as tests expect it.
 func Text(model, prompt string, n int) string {
 	var b strings.Builder
 	for i := range n {
@@ -50,26 +50,27 @@
 	return fmt.Sprintf("%s:%d:%x ", model, i, xxhash.Sum64String(prompt)&0xffff)
 }
 
-// split parts the prompt from the text that a continued request brings along.
-func (r chatRequest) split() (prompt, begun string) {
+// split returns the prompt and, for a request that continues an answer, the part of the
+// answer that the request contains.
+func (r chatRequest) split() (prompt, prefix string) {
 	if len(r.Messages) == 0 {
 		return r.Prompt, ""
 	}
 	messages := r.Messages
 	if last := messages[len(messages)-1]; r.Continue && last.Role == "assistant" {
-		begun = last.Content
+		prefix = last.Content
 		messages = messages[:len(messages)-1]
 	}
 	for _, m := range messages {
 		prompt += m.Role + "=" + m.Content + "\n"
 	}
-	return prompt, begun
+	return prompt, prefix
 }
 
-// Prompt is the prompt that Text expects for one user message.
+// Prompt returns the prompt, as Text takes it, of one user message.
 func Prompt(content string) string { return "user=" + content + "\n" }
 
-// stream is one answer in progress, kept so that it can be read again.
+// stream is an answer in progress, kept so that it can be resumed.
 type stream struct {
 	mu      sync.Mutex
 	data    []byte
@@ -88,6 +89,8 @@
 	st.changed = make(chan struct{})
 }
 
+// from returns the data from an offset, whether the answer is complete, and the channel
+// that is closed at the next write.
 func (st *stream) from(offset int) ([]byte, bool, chan struct{}) {
 	st.mu.Lock()
 	defer st.mu.Unlock()
@@ -105,7 +108,7 @@
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
 	}
-	prompt, begun := req.split()
+	prompt, prefix := req.split()
 	faults, ok := s.begin(attempt, req.Model, prompt, r.Header.Get(core.HeaderIdempotencyKey))
 	w.Header().Set(core.HeaderRequestID, attempt)
 	if !ok {
@@ -124,15 +127,16 @@
 	if req.Stream {
 		st.header.Set("Content-Type", "text/event-stream")
 	}
-	s.keep(attempt, st)
-	go s.run(ctx, st, req, prompt, begun)
+	s.keepStream(attempt, st)
+	go s.run(ctx, st, req, prompt, prefix)
 	for k, v := range st.header {
 		w.Header()[k] = v
 	}
 	s.serve(w, r, st, 0, faults, req.Stream)
 }
 
-// begin logs a run and takes the next request's share of the faults.
+// begin records a run and returns the faults that apply to it. It returns false if the
+// model is not ready.
 func (s *Server) begin(attempt, model, prompt, key string) (Faults, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -151,26 +155,27 @@
 	return f, true
 }
 
-func (s *Server) keep(attempt string, st *stream) {
+// keepStream keeps a stream for streamTTL so that it can be resumed.
+func (s *Server) keepStream(attempt string, st *stream) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.streams[attempt] = st
-	time.AfterFunc(streamKept, func() {
+	time.AfterFunc(streamTTL, func() {
 		s.mu.Lock()
 		defer s.mu.Unlock()
 		delete(s.streams, attempt)
 	})
 }
 
-// run generates tokens into the stream.
-func (s *Server) run(ctx context.Context, st *stream, req chatRequest, prompt, begun string) {
+// run generates the tokens of an answer and writes them to the stream.
+func (s *Server) run(ctx context.Context, st *stream, req chatRequest, prompt, prefix string) {
 	defer func() {
 		s.mu.Lock()
 		defer s.mu.Unlock()
 		s.running[req.Model]--
 		s.evictIdle(req.Model)
 	}()
-	first := strings.Count(begun, " ")
+	first := strings.Count(prefix, " ")
 	var text strings.Builder
 	for i := first; i < first+req.MaxTokens; i++ {
 		select {
@@ -210,7 +215,7 @@
 	return []byte("data: " + string(data) + "\n\n")
 }
 
-// serve copies the stream to one connection, with its faults.
+// serve copies the stream to one connection and injects the faults.
 func (s *Server) serve(w http.ResponseWriter, r *http.Request, st *stream, offset int, f Faults, sendHead bool) {
 	flush := http.NewResponseController(w)
 	if sendHead {
@@ -254,10 +259,10 @@
 	offset, err := strconv.Atoi(r.URL.Query().Get("offset"))
 	s.mu.Lock()
 	st := s.streams[id]
-	no := s.faults.NoResume
+	noResume := s.faults.NoResume
 	s.mu.Unlock()
 	w.Header().Set(core.HeaderRequestID, id)
-	if st == nil || no || err != nil || offset < 0 {
+	if st == nil || noResume || err != nil || offset < 0 {
 		http.Error(w, "no such stream", http.StatusNotFound)
 		return
 	}
--- a/standin/engine/engine.go
+++ b/standin/engine/engine.go
@@ -1,6 +1,6 @@
-// Package engine is a stand-in of a model engine for tests and the demo. Its
-// answers are a function of the prompt, so that a test can tell a whole answer
-// from a cut, doubled or crossed one. It can fail on purpose.
+// Package engine is a stand-in for a model engine in tests and the demo. Its answers are a
+// function of the prompt, so that a test can distinguish a complete answer from one that
+// is truncated, duplicated or belongs to another request. It can inject faults.
 package engine
 
 import (
@@ -18,30 +18,30 @@
 	"primroseward/standin/faults"
 )
 
-// Config is what an engine can do.
+// Config describes an engine.
 type Config struct {
-	Memory   int64
-	Slots    int
-	Fenced   bool          // refuses orders with an old fencing number
-	Token    time.Duration // between tokens
-	Load     time.Duration // of a model
-	Resident []core.Resident
+	Memory   int64           // bytes
+	Slots    int             // requests served at the same time
+	Fenced   bool            // refuses orders with an old fencing number
+	Token    time.Duration   // time between tokens
+	Load     time.Duration   // time to load a model
+	Resident []core.Resident // models loaded at the start
 }
 
-// Faults is what the stand-in does wrong. Counts apply to the next requests.
+// Faults lists the faults that the stand-in injects. Counts apply to the next requests.
 type Faults struct {
-	CutAfter   int  `json:"cut_after"`   // tokens until the connection is cut
-	SilentAt   int  `json:"silent_at"`   // tokens until the connection goes silent
-	Cuts       int  `json:"cuts"`        // how many requests are cut or silenced
+	CutAfter   int  `json:"cut_after"`   // writes, of one or more tokens, until the connection is closed
+	SilentAt   int  `json:"silent_at"`   // writes until the connection stalls
+	Cuts       int  `json:"cuts"`        // requests whose connection is closed or stalls
 	Cross      int  `json:"cross"`       // answers that carry another request's id
-	Truncate   int  `json:"truncate"`    // answers that end early without a marker
-	LoseOrders int  `json:"lose_orders"` // orders that are dropped unseen
+	Truncate   int  `json:"truncate"`    // answers that end early as if complete
+	LoseOrders int  `json:"lose_orders"` // orders that are dropped without being carried out
 	LateOrders int  `json:"late_orders"` // orders that are carried out 2 s later
-	NoResume   bool `json:"no_resume"`
-	Leaving    bool `json:"leaving"`
+	NoResume   bool `json:"no_resume"`   // streams cannot be resumed
+	Leaving    bool `json:"leaving"`     // the state says that the engine is leaving
 }
 
-// Run is one request that the engine has begun.
+// Run is a request that the engine has begun to run.
 type Run struct {
 	Attempt string `json:"attempt"`
 	Model   string `json:"model"`
@@ -53,20 +53,21 @@
 type Server struct {
 	http.Handler
 	cfg     Config
-	boot    string
+	boot    string // identifies the process's lifetime; Restart changes it
 	mu      sync.Mutex
 	models  map[string]*resident
-	peak    int64
-	fence   uint64
+	peak    int64  // most memory in use so far, in bytes
+	fence   uint64 // highest fencing number of any order
 	faults  Faults
 	runs    []Run
 	streams map[string]*stream
-	running map[string]int
+	running map[string]int // requests by model
 }
 
+// resident is a loaded or loading model.
 type resident struct {
 	core.Resident
-	evict bool // evicted once idle
+	evict bool // to be evicted once no request runs on it
 }
 
 // New returns an engine.
@@ -95,28 +96,28 @@
 	return s
 }
 
-// SetFaults changes what goes wrong from now on.
+// SetFaults replaces the faults to inject.
 func (s *Server) SetFaults(f Faults) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.faults = f
 }
 
-// Runs returns the requests begun so far.
+// Runs returns the requests that have begun to run so far.
 func (s *Server) Runs() []Run {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return slices.Clone(s.runs)
 }
 
-// Peak returns the most memory that was ever in use.
+// Peak returns the most memory in use at any time, in bytes.
 func (s *Server) Peak() int64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.peak
 }
 
-// Residents returns what the engine holds.
+// Residents returns the models that are loaded or loading.
 func (s *Server) Residents() []core.Resident {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -127,7 +128,7 @@
 	return out
 }
 
-// Running returns how many requests are being generated.
+// Running returns the number of requests for which tokens are being generated.
 func (s *Server) Running() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -138,7 +139,7 @@
 	return n
 }
 
-// Restart loses all that the engine holds, as a new process would.
+// Restart drops all models, streams and the fencing number, as a new process would.
 func (s *Server) Restart() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -215,6 +216,7 @@
 	w.WriteHeader(http.StatusAccepted)
 }
 
+// carryOut carries out an order, unless its fencing number is stale.
 func (s *Server) carryOut(o core.Order) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/standin/faults/faults.go
+++ b/standin/faults/faults.go
@@ -1,5 +1,4 @@
-// Package faults lets a test or a person change over HTTP what a stand-in does
-// wrong.
+// Package faults lets tests and users set over HTTP which faults a stand-in injects.
 package faults
 
 import (
@@ -7,7 +6,7 @@
 	"net/http"
 )
 
-// Handler reads a fault setting as JSON and hands it to set.
+// Handler returns a handler that decodes faults from a JSON body and passes them to set.
 func Handler[F any](set func(F)) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		var f F
--- a/standin/fuzz/fuzz.go
+++ b/standin/fuzz/fuzz.go
@@ -1,5 +1,5 @@
-// Package fuzz fixes the seeds of stateful fuzzing, so that CI gives the same
-// verdict every time. With PRIMROSE_FUZZ set, seeds are new in each run.
+// Package fuzz fixes the seeds of stateful fuzzing, so that every CI run checks the same
+// sequences. With PRIMROSE_FUZZ set, each run uses new seeds.
 package fuzz
 
 import (
@@ -8,23 +8,25 @@
 	"strconv"
 )
 
-// EnvExplore is the variable that frees the seeds; make fuzz sets it.
-const EnvExplore = "PRIMROSE_FUZZ"
+// EnvRandomSeeds is the environment variable that leaves the seeds random; make fuzz
+// sets it.
+const EnvRandomSeeds = "PRIMROSE_FUZZ"
 
-// Runner runs a package's tests; *testing.M is one.
+// Runner runs a package's tests; *testing.M implements it.
 type Runner interface{ Run() int }
 
-// Main is a package's TestMain: it fixes seed, number and length of sequences
-// and exits with the tests' code.
+// Main implements a package's TestMain: it fixes the seed, number and length of sequences,
+// runs the tests and exits with their exit code.
 func Main(m Runner, checks, steps int) {
 	flag.Parse()
 	Fix(1, checks, steps)
 	os.Exit(m.Run())
 }
 
-// Fix sets them for the tests that follow.
+// Fix sets the seed, number and length of sequences for the tests that follow, unless
+// the environment asks for random seeds.
 func Fix(seed, checks, steps int) {
-	if os.Getenv(EnvExplore) != "" {
+	if os.Getenv(EnvRandomSeeds) != "" {
 		return
 	}
 	for name, v := range map[string]int{"rapid.seed": seed, "rapid.checks": checks, "rapid.steps": steps} {
--- a/standin/memory/memory.go
+++ b/standin/memory/memory.go
@@ -1,5 +1,5 @@
-// Package memory is a platform's store in memory, for tests in virtual time. It
-// can be cut off, lose answers and forget its history.
+// Package memory implements the platform's store in memory, for tests in virtual time. It
+// can simulate lost connections, lost answers and a dropped history.
 package memory
 
 import (
@@ -12,18 +12,18 @@
 	"primroseward/core"
 )
 
-// watchWait is how long a watch without changes waits, as the real client's.
+// watchWait is how long a watch waits for changes, the same as in the real client.
 const watchWait = 3 * time.Second
 
 // Store implements core.Platform.
 type Store struct {
 	mu       sync.Mutex
-	version  uint64
+	version  uint64 // of the last change
 	objects  map[string]core.Object
 	history  []core.Event
-	oldest   uint64 // changes up to this version are forgotten
-	changed  chan struct{}
-	dropping bool
+	oldest   uint64        // changes up to this version are no longer in history
+	changed  chan struct{} // closed to wake waiting watches
+	dropping bool          // changes do not wake watches
 }
 
 // New returns an empty Store.
@@ -31,57 +31,57 @@
 	return &Store{objects: map[string]core.Object{}, changed: make(chan struct{})}
 }
 
-// Client is the store as one daemon reaches it.
+// Client is one daemon's connection to the store.
 type Client struct {
 	store *Store
 	mu    sync.Mutex
-	cut   bool
-	lose  int
+	cut   bool // all calls fail
+	lose  int  // writes that take effect and fail
 	calls int
 }
 
 var _ core.Platform = (*Client)(nil)
 
-// Client returns a new way to the store.
+// Client returns a new client of the store.
 func (s *Store) Client() *Client { return &Client{store: s} }
 
-// Cut lets all calls of this client fail, or work again.
+// Cut makes all calls of this client fail, or succeed again.
 func (c *Client) Cut(cut bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.cut = cut
-	c.store.wake()
+	c.store.wakeWatches()
 }
 
-// LoseAnswers lets the next n writes take effect and fail.
+// LoseAnswers makes the next n writes take effect but return ErrUnavailable.
 func (c *Client) LoseAnswers(n int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.lose = n
 }
 
-// DropEvents lets waiting watches hear nothing.
+// DropEvents makes changes stop waking waiting watches, or wake them again.
 func (s *Store) DropEvents(dropping bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.dropping = dropping
 }
 
-// Forget drops the history: older watches fail with ErrGone.
+// Forget drops the history: watches from an older version fail with ErrGone.
 func (s *Store) Forget() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.history, s.oldest = nil, s.version
 }
 
-// Put writes an object past all conditions, as operators and runners do.
+// Put writes an object without checking its version, as operators and runners do.
 func (s *Store) Put(kind, name, body string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.put(core.Object{Kind: kind, Name: name, Body: []byte(body)}, false)
 }
 
-// Remove drops an object.
+// Remove deletes an object without checking its version.
 func (s *Store) Remove(kind, name string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -104,28 +104,29 @@
 	return o
 }
 
-func (s *Store) wake() {
+func (s *Store) wakeWatches() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	close(s.changed)
 	s.changed = make(chan struct{})
 }
 
-// Calls is how many calls, and looks of waiting watches, were made so far.
+// Calls returns the number of calls so far; each check by a waiting watch counts as one.
 func (c *Client) Calls() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.calls
 }
 
-// Version is the store's version.
+// Version returns the version of the last change.
 func (s *Store) Version() uint64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.version
 }
 
-func (c *Client) reached() error {
+// call counts a call and fails if the client is cut off.
+func (c *Client) call() error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.calls++
@@ -135,8 +136,9 @@
 	return nil
 }
 
-// answered is the outcome of a write that took effect.
-func (c *Client) answered(o core.Object) (core.Object, error) {
+// writeResult returns the outcome of a write that took effect: o, or an error if its answer
+// is to be lost.
+func (c *Client) writeResult(o core.Object) (core.Object, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.lose > 0 {
@@ -148,7 +150,7 @@
 
 // Get reads one object.
 func (c *Client) Get(_ context.Context, kind, name string) (core.Object, error) {
-	if err := c.reached(); err != nil {
+	if err := c.call(); err != nil {
 		return core.Object{}, err
 	}
 	c.store.mu.Lock()
@@ -162,7 +164,7 @@
 
 // List reads all objects of a kind.
 func (c *Client) List(_ context.Context, kind string) ([]core.Object, uint64, error) {
-	if err := c.reached(); err != nil {
+	if err := c.call(); err != nil {
 		return nil, 0, err
 	}
 	c.store.mu.Lock()
@@ -179,20 +181,20 @@
 
 // Create writes a new object.
 func (c *Client) Create(_ context.Context, o core.Object) (core.Object, error) {
-	if err := c.reached(); err != nil {
+	if err := c.call(); err != nil {
 		return core.Object{}, err
 	}
 	c.store.mu.Lock()
 	defer c.store.mu.Unlock()
-	if _, taken := c.store.objects[o.Kind+"/"+o.Name]; taken {
+	if _, exists := c.store.objects[o.Kind+"/"+o.Name]; exists {
 		return core.Object{}, core.ErrExists
 	}
-	return c.answered(c.store.put(o, false))
+	return c.writeResult(c.store.put(o, false))
 }
 
 // Update replaces an object whose version is o.Version.
 func (c *Client) Update(_ context.Context, o core.Object) (core.Object, error) {
-	if err := c.reached(); err != nil {
+	if err := c.call(); err != nil {
 		return core.Object{}, err
 	}
 	c.store.mu.Lock()
@@ -200,12 +202,12 @@
 	if c.store.objects[o.Kind+"/"+o.Name].Version != o.Version {
 		return core.Object{}, core.ErrConflict
 	}
-	return c.answered(c.store.put(o, false))
+	return c.writeResult(c.store.put(o, false))
 }
 
 // Delete removes an object whose version is o.Version.
 func (c *Client) Delete(_ context.Context, o core.Object) error {
-	if err := c.reached(); err != nil {
+	if err := c.call(); err != nil {
 		return err
 	}
 	c.store.mu.Lock()
@@ -213,16 +215,17 @@
 	if c.store.objects[o.Kind+"/"+o.Name].Version != o.Version {
 		return core.ErrConflict
 	}
-	_, err := c.answered(c.store.put(o, true))
+	_, err := c.writeResult(c.store.put(o, true))
 	return err
 }
 
-// Watch reports changes as the real client does.
+// Watch passes changes to fn, and the version reached after each wait, as the real client
+// does.
 func (c *Client) Watch(ctx context.Context, kind string, version uint64, fn func(core.Event)) error {
 	for {
-		over := time.NewTimer(watchWait)
-		events, current, err := c.next(ctx, kind, version, over.C)
-		over.Stop()
+		timeout := time.NewTimer(watchWait)
+		events, current, err := c.next(ctx, kind, version, timeout.C)
+		timeout.Stop()
 		if err != nil {
 			return err
 		}
@@ -234,10 +237,11 @@
 	}
 }
 
-// next is one wait of a watch.
-func (c *Client) next(ctx context.Context, kind string, version uint64, over <-chan time.Time) ([]core.Event, uint64, error) {
-	for ended := false; ; {
-		if err := c.reached(); err != nil {
+// next waits for changes after version until timeout fires, and returns them with the
+// store's version.
+func (c *Client) next(ctx context.Context, kind string, version uint64, timeout <-chan time.Time) ([]core.Event, uint64, error) {
+	for timedOut := false; ; {
+		if err := c.call(); err != nil {
 			return nil, 0, err
 		}
 		c.store.mu.Lock()
@@ -253,15 +257,15 @@
 		}
 		current, changed := c.store.version, c.store.changed
 		c.store.mu.Unlock()
-		if len(out) > 0 || ended {
+		if len(out) > 0 || timedOut {
 			return out, current, nil
 		}
 		select {
 		case <-ctx.Done():
 			return nil, 0, ctx.Err()
 		case <-changed:
-		case <-over:
-			ended = true
+		case <-timeout:
+			timedOut = true
 		}
 	}
 }
--- a/standin/platform/platform.go
+++ b/standin/platform/platform.go
@@ -1,5 +1,5 @@
-// Package platform is a stand-in of the platform's object API for tests and
-// the demo. It keeps objects in memory and can fail on purpose.
+// Package platform is a stand-in for the platform's object API in tests and the demo. It
+// keeps objects in memory and can inject faults.
 package platform
 
 import (
@@ -21,21 +21,22 @@
 )
 
 const (
-	historyLimit = 10000
-	staleBy      = 3 // changes that a stale watch repeats
-	pageItems    = 500
+	historyLimit = 10000 // changes
+	staleChanges = 3     // changes that a stale watch repeats
+	pageSize     = 500   // objects in a page of a list
 )
 
-// Faults is what the stand-in does wrong until it is set again.
+// Faults lists the faults that the stand-in injects until it is set again.
 type Faults struct {
-	Down       bool `json:"down"`        // refuses every call and ends watches
-	LoseWrites int  `json:"lose_writes"` // carries out this many writes but drops their answers
-	LateWrites int  `json:"late_writes"` // carries out this many writes a second or two late, without an answer
+	Down       bool `json:"down"`        // refuses every call and aborts watches
+	LoseWrites int  `json:"lose_writes"` // applies this many writes but drops their answers
+	LateWrites int  `json:"late_writes"` // applies this many writes 1.5 s late, without an answer
 	Busy       bool `json:"busy"`        // answers every other call with 429
 	Delay      int  `json:"delay"`       // milliseconds before each answer
 	StaleWatch bool `json:"stale_watch"` // watches repeat old events first
 }
 
+// event is a change in the history.
 type event struct {
 	version uint64
 	kind    string
@@ -64,7 +65,7 @@
 	}
 	r := chi.NewRouter()
 	r.Route(strings.TrimSuffix(wire.PathObjects, "/"), func(r chi.Router) {
-		r.Use(s.fail)
+		r.Use(s.injectFaults)
 		r.Get("/{kind}", s.list)
 		r.Post("/{kind}", s.create)
 		r.Get("/{kind}/{name}", s.get)
@@ -77,15 +78,15 @@
 	return s
 }
 
-// SetFaults changes what goes wrong from now on.
+// SetFaults replaces the faults to inject.
 func (s *Server) SetFaults(f Faults) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.faults = f
-	s.wake()
+	s.wakeWatches()
 }
 
-// Counts returns the calls so far by verb.
+// Counts returns the number of calls so far by HTTP method, and of watches as WATCH.
 func (s *Server) Counts() map[string]int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -97,10 +98,11 @@
 }
 
 func (s *Server) getCounts(w http.ResponseWriter, _ *http.Request) {
-	reply(w, http.StatusOK, s.Counts())
+	writeJSON(w, http.StatusOK, s.Counts())
 }
 
-func (s *Server) fail(next http.Handler) http.Handler {
+// injectFaults is the middleware that injects the faults.
+func (s *Server) injectFaults(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		s.mu.Lock()
 		f := s.faults
@@ -123,15 +125,15 @@
 		s.mu.Unlock()
 		time.Sleep(time.Duration(f.Delay) * time.Millisecond)
 		if f.Down {
-			status(w, http.StatusServiceUnavailable, "platform is down")
+			writeError(w, http.StatusServiceUnavailable, "platform is down")
 			return
 		}
 		if busy {
-			status(w, http.StatusTooManyRequests, "too many calls")
+			writeError(w, http.StatusTooManyRequests, "too many calls")
 			return
 		}
 		if late {
-			s.carryOutLate(next, r)
+			s.applyLate(next, r)
 			panic(http.ErrAbortHandler)
 		}
 		if lose {
@@ -142,22 +144,22 @@
 	})
 }
 
-// lateBy is how late a write is carried out that gets no answer.
-const lateBy = 1500 * time.Millisecond
+// lateDelay is the delay of the writes in Faults.LateWrites.
+const lateDelay = 1500 * time.Millisecond
 
-// carryOutLate lets a write take effect later, if its condition still holds then.
-func (s *Server) carryOutLate(next http.Handler, r *http.Request) {
+// applyLate applies a write after lateDelay, if its precondition still holds then.
+func (s *Server) applyLate(next http.Handler, r *http.Request) {
 	body, err := io.ReadAll(r.Body)
 	if err != nil {
 		return
 	}
-	again := r.Clone(context.WithoutCancel(r.Context()))
-	again.Body = io.NopCloser(bytes.NewReader(body))
-	time.AfterFunc(lateBy, func() { next.ServeHTTP(discard{header: http.Header{}}, again) })
+	late := r.Clone(context.WithoutCancel(r.Context()))
+	late.Body = io.NopCloser(bytes.NewReader(body))
+	time.AfterFunc(lateDelay, func() { next.ServeHTTP(discard{header: http.Header{}}, late) })
 }
 
-// Put writes an object past all faults and conditions, as runners and operators do
-// once they get through.
+// Put writes an object, bypassing all faults and preconditions. It stands for a write by a
+// runner or an operator that has reached the platform.
 func (s *Server) Put(kind, name string, spec any) error {
 	body, err := json.Marshal(spec)
 	if err != nil {
@@ -169,7 +171,7 @@
 	return nil
 }
 
-// Remove takes an object out the same way.
+// Remove deletes an object, bypassing all faults and preconditions.
 func (s *Server) Remove(kind, name string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -179,7 +181,7 @@
 	}
 }
 
-// Forget drops the history: watches from older versions are told that it is gone.
+// Forget drops the history: watches from older versions get status 410.
 func (s *Server) Forget() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -187,6 +189,7 @@
 	s.history = []event{{version: s.version}}
 }
 
+// discard is a ResponseWriter that drops the answer.
 type discard struct{ header http.Header }
 
 func (d discard) Header() http.Header         { return d.header }
@@ -198,10 +201,10 @@
 	defer s.mu.Unlock()
 	i, ok := s.objects[chi.URLParam(r, "kind")][chi.URLParam(r, "name")]
 	if !ok {
-		status(w, http.StatusNotFound, "no such object")
+		writeError(w, http.StatusNotFound, "no such object")
 		return
 	}
-	reply(w, http.StatusOK, i)
+	writeJSON(w, http.StatusOK, i)
 }
 
 func (s *Server) list(w http.ResponseWriter, r *http.Request) {
@@ -219,10 +222,10 @@
 		}
 	}
 	slices.SortFunc(p.Items, func(a, b wire.Item) int { return strings.Compare(a.Metadata.Name, b.Metadata.Name) })
-	if len(p.Items) > pageItems {
-		p.Items, p.More = p.Items[:pageItems], true
+	if len(p.Items) > pageSize {
+		p.Items, p.More = p.Items[:pageSize], true
 	}
-	reply(w, http.StatusOK, p)
+	writeJSON(w, http.StatusOK, p)
 }
 
 func (s *Server) create(w http.ResponseWriter, r *http.Request) {
@@ -233,11 +236,11 @@
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if _, taken := s.objects[kind][i.Metadata.Name]; taken {
-		status(w, http.StatusConflict, "name is taken")
+	if _, exists := s.objects[kind][i.Metadata.Name]; exists {
+		writeError(w, http.StatusConflict, "name is taken")
 		return
 	}
-	reply(w, http.StatusCreated, s.put(kind, false, i))
+	writeJSON(w, http.StatusCreated, s.put(kind, false, i))
 }
 
 func (s *Server) update(w http.ResponseWriter, r *http.Request) {
@@ -250,15 +253,15 @@
 	defer s.mu.Unlock()
 	old, exists := s.objects[kind][name]
 	if !exists {
-		status(w, http.StatusNotFound, "no such object")
+		writeError(w, http.StatusNotFound, "no such object")
 		return
 	}
 	if i.Metadata.Revision != 0 && old.Metadata.Revision != i.Metadata.Revision {
-		reply(w, http.StatusConflict, old)
+		writeJSON(w, http.StatusConflict, old)
 		return
 	}
 	i.Metadata.Name = name
-	reply(w, http.StatusOK, s.put(kind, false, i))
+	writeJSON(w, http.StatusOK, s.put(kind, false, i))
 }
 
 func (s *Server) remove(w http.ResponseWriter, r *http.Request) {
@@ -268,16 +271,16 @@
 	defer s.mu.Unlock()
 	old, exists := s.objects[kind][name]
 	if !exists {
-		status(w, http.StatusNotFound, "no such object")
+		writeError(w, http.StatusNotFound, "no such object")
 		return
 	}
 	if want != "" && want != strconv.FormatUint(old.Metadata.Revision, 10) {
-		reply(w, http.StatusConflict, old)
+		writeJSON(w, http.StatusConflict, old)
 		return
 	}
 	s.put(kind, true, old)
 	delete(s.objects[kind], name)
-	reply(w, http.StatusOK, old)
+	writeJSON(w, http.StatusOK, old)
 }
 
 // put stores an item under a new version and records its event.
@@ -292,11 +295,11 @@
 	if len(s.history) > historyLimit {
 		s.history = slices.Clone(s.history[historyLimit/2:])
 	}
-	s.wake()
+	s.wakeWatches()
 	return i
 }
 
-func (s *Server) wake() {
+func (s *Server) wakeWatches() {
 	close(s.changed)
 	s.changed = make(chan struct{})
 }
@@ -305,48 +308,50 @@
 	kind, query := chi.URLParam(r, "kind"), r.URL.Query()
 	from, err := strconv.ParseUint(query.Get(wire.QueryWatch), 10, 64)
 	if err != nil {
-		status(w, http.StatusBadRequest, "watch: want a number")
+		writeError(w, http.StatusBadRequest, "watch must be a number")
 		return
 	}
 	wait, err := strconv.Atoi(query.Get(wire.QueryWait))
 	if err != nil {
-		status(w, http.StatusBadRequest, "wait_ms: want a number")
+		writeError(w, http.StatusBadRequest, "wait_ms must be a number")
 		return
 	}
 	s.mu.Lock()
 	if len(s.history) > 0 && s.history[0].version > from+1 {
 		s.mu.Unlock()
-		status(w, http.StatusGone, "version is too old")
+		writeError(w, http.StatusGone, "version is too old")
 		return
 	}
-	stale := s.faults.StaleWatch && from > staleBy
+	stale := s.faults.StaleWatch && from > staleChanges
 	s.mu.Unlock()
-	over := time.NewTimer(time.Duration(wait) * time.Millisecond)
-	defer over.Stop()
+	timeout := time.NewTimer(time.Duration(wait) * time.Millisecond)
+	defer timeout.Stop()
 	for {
-		events, current, changed, down := s.since(kind, from)
+		events, current, changed, down := s.changesSince(kind, from)
 		if down {
 			panic(http.ErrAbortHandler)
 		}
 		if len(events) > 0 && stale {
-			events, current, _, _ = s.since(kind, from-staleBy)
+			events, current, _, _ = s.changesSince(kind, from-staleChanges)
 		}
 		if len(events) > 0 {
-			reply(w, http.StatusOK, wire.Changes{Events: events, Current: current})
+			writeJSON(w, http.StatusOK, wire.Changes{Events: events, Current: current})
 			return
 		}
 		select {
 		case <-r.Context().Done():
 			return
 		case <-changed:
-		case <-over.C:
-			reply(w, http.StatusOK, wire.Changes{Events: []wire.Change{}, Current: current})
+		case <-timeout.C:
+			writeJSON(w, http.StatusOK, wire.Changes{Events: []wire.Change{}, Current: current})
 			return
 		}
 	}
 }
 
-func (s *Server) since(kind string, from uint64) ([]wire.Change, uint64, chan struct{}, bool) {
+// changesSince returns the changes of a kind after a version, the store's version, the
+// channel that is closed at the next change, and whether the platform is down.
+func (s *Server) changesSince(kind string, from uint64) ([]wire.Change, uint64, chan struct{}, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	var out []wire.Change
@@ -361,17 +366,17 @@
 func readItem(w http.ResponseWriter, r *http.Request) (wire.Item, bool) {
 	var i wire.Item
 	if err := json.NewDecoder(r.Body).Decode(&i); err != nil {
-		status(w, http.StatusBadRequest, err.Error())
+		writeError(w, http.StatusBadRequest, err.Error())
 		return i, false
 	}
 	return i, true
 }
 
-func status(w http.ResponseWriter, code int, message string) {
-	reply(w, code, map[string]string{"error": message})
+func writeError(w http.ResponseWriter, code int, message string) {
+	writeJSON(w, code, map[string]string{"error": message})
 }
 
-func reply(w http.ResponseWriter, code int, body any) {
+func writeJSON(w http.ResponseWriter, code int, body any) {
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(code)
 	_ = json.NewEncoder(w).Encode(body)
--- a/standin/runner/runner.go
+++ b/standin/runner/runner.go
@@ -1,6 +1,6 @@
-// Package runner is a stand-in of the platform's runners, for tests: it
-// registers itself in the store's stand-in, serves plain requests and streams,
-// and takes orders for models and adapters.
+// Package runner is a stand-in for the platform's runners in tests. It registers itself
+// in the stand-in for the store, serves plain requests and streams, and carries out
+// orders for models and adapters.
 package runner
 
 import (
@@ -19,30 +19,31 @@
 	"primroseward/platform"
 )
 
-// Spec is what a runner is like.
+// Spec describes a runner.
 type Spec struct {
 	ID      string
 	Service string
 	Place   string
-	Slots   int
-	Models  []string
-	Events  int           // of a stream
+	Slots   int           // twice as many requests run at the same time; 0: any number
+	Models  []string      // loaded at the start
+	Events  int           // in a stream; 0: plain answers
 	Gap     time.Duration // between events, and before a plain answer
-	// Bounds of what may be loaded; 0: any number. An order beyond them is kept as
-	// a violation.
+	// MaxModels and MaxAdapters bound what may be loaded; 0: any number. An order that
+	// exceeds them is carried out and recorded as a violation.
 	MaxModels, MaxAdapters int
-	Load                   time.Duration // until an ordered model is there
-	// Fatal says whether a request's body ends the runner once it has begun to run it;
-	// nil: none does. It ends FatalAfter later, and Ended is called then.
+	Load                   time.Duration // time to load a model; 0: loaded at once
+	// Fatal reports whether the runner exits because of a request with this body; nil:
+	// it never does. The runner exits FatalAfter after it has begun to run the request,
+	// and then calls Ended.
 	Fatal      func(body string) bool
 	FatalAfter time.Duration
 	Ended      func()
-	// Reached is where others reach the runner that listens at an address; nil:
-	// there.
+	// Reached returns the address to register for the runner's listen address; nil: the
+	// listen address itself.
 	Reached func(addr string) string
 }
 
-// Run is a request that has run.
+// Run is a request that has begun to run.
 type Run struct {
 	ID     string
 	Target string
@@ -58,33 +59,33 @@
 	srv   *httptest.Server
 	store func(kind, name string, spec any)
 
-	mu       sync.Mutex
-	born     time.Time // of its life
-	runs     []Run
-	models   map[string][]string // with their adapters
-	sequence uint64
-	draining bool
-	cutAfter int // events after which the next stream is cut; 0: never
-	failing  int // requests to answer 500
-	running  int
-	busy     bool        // a model is being loaded
-	ended    bool        // by a fatal request
-	limit    []string    // values of the header that names its limit
-	arrived  []time.Time // of requests
-	terms    []Term
-	wrong    []string
+	mu         sync.Mutex
+	started    time.Time // start time of the present instance
+	runs       []Run
+	models     map[string][]string // adapters by loaded model
+	sequence   uint64              // number of orders carried out
+	draining   bool
+	cutAfter   int         // events after which the next stream is cut; 0: never
+	failures   int         // next requests to answer with status 500
+	running    int         // requests
+	busy       bool        // a model is being loaded
+	exited     bool        // exited because of a fatal request
+	limit      []string    // values of the limit header
+	arrived    []time.Time // arrival times of requests
+	terms      []Term
+	violations []string // orders that exceeded the bounds
 }
 
-// Term is an order's holder and fencing number.
+// Term is the holder and fencing number of an order, and when it arrived.
 type Term struct {
 	Holder string
 	Fence  uint64
 	At     time.Time
 }
 
-// New starts a runner that writes its entry through store.
+// New starts a runner that writes its entry by calling store.
 func New(spec Spec, store func(kind, name string, spec any)) *Server {
-	s := &Server{Spec: spec, store: store, born: time.Now(), models: map[string][]string{}}
+	s := &Server{Spec: spec, store: store, started: time.Now(), models: map[string][]string{}}
 	for _, m := range spec.Models {
 		s.models[m] = nil
 	}
@@ -97,31 +98,31 @@
 	return s
 }
 
-// Restart begins another life of the runner under its ID, on which it holds nothing and
-// has taken no orders. It was born as long after the former life as step says.
+// Restart starts a new instance of the runner under the same ID, without models and
+// without orders carried out. Its start time is that of the previous instance plus step.
 func (s *Server) Restart(step time.Duration) {
 	s.srv.CloseClientConnections()
 	s.mu.Lock()
-	s.born = s.born.Add(step)
+	s.started = s.started.Add(step)
 	s.models, s.sequence, s.draining, s.busy = map[string][]string{}, 0, false, false
 	s.mu.Unlock()
 	s.Register()
 }
 
-// Born is when the runner's present life began.
+// Born returns the start time of the runner's present instance.
 func (s *Server) Born() time.Time {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.born
+	return s.started
 }
 
-// Kill ends the runner and all its connections.
+// Kill closes the runner's listener and all its connections.
 func (s *Server) Kill() {
 	s.srv.CloseClientConnections()
 	s.srv.Config.Close()
 }
 
-// Drain reports that the runner leaves; it goes on serving.
+// Drain registers the runner as draining; it continues to serve.
 func (s *Server) Drain() {
 	s.mu.Lock()
 	s.draining = true
@@ -140,26 +141,26 @@
 func (s *Server) FailNext(n int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.failing = n
+	s.failures = n
 }
 
-// SetLimit names a limit in all answers from now on, in as many headers as there are
-// values; none: no limit.
+// SetLimit sets the values of the limit header in all further answers, one header line
+// per value; none: no limit.
 func (s *Server) SetLimit(values ...string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.limit = values
 }
 
-// Arrived is when requests have arrived, run or not, oldest first.
+// Arrived returns the arrival times of all requests, run or not, oldest first.
 func (s *Server) Arrived() []time.Time {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return append([]time.Time(nil), s.arrived...)
 }
 
-// arrive counts a request and names the limit in its answer.
-func (s *Server) arrive(h http.Header) {
+// recordArrival records a request's arrival and adds the limit to its answer's header.
+func (s *Server) recordArrival(h http.Header) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.arrived = append(s.arrived, time.Now())
@@ -168,28 +169,29 @@
 	}
 }
 
-// Terms returns the holders that orders were accepted from, in order.
+// Terms returns the holder and fencing number of each order that named this runner's
+// ID, oldest first.
 func (s *Server) Terms() []Term {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return append([]Term(nil), s.terms...)
 }
 
-// Violations are orders beyond the runner's bounds.
+// Violations describes the orders that exceeded the runner's bounds.
 func (s *Server) Violations() []string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return append([]string(nil), s.wrong...)
+	return append([]string(nil), s.violations...)
 }
 
-// Runs returns the requests that have run here.
+// Runs returns the requests that have begun to run.
 func (s *Server) Runs() []Run {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return append([]Run(nil), s.runs...)
 }
 
-// Holds says whether the runner has a model, and an adapter if one is named.
+// Holds reports whether a model is loaded and, if adapter is not empty, that adapter.
 func (s *Server) Holds(model, adapter string) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -205,8 +207,8 @@
 	return false
 }
 
-// holdings lists the models; the caller holds the lock.
-func (s *Server) holdings() []platform.HoldingMessage {
+// loadedModels lists the models with their adapters; s.mu must be held.
+func (s *Server) loadedModels() []platform.HoldingMessage {
 	out := []platform.HoldingMessage{}
 	for m, adapters := range s.models {
 		out = append(out, platform.HoldingMessage{Name: m, Version: 1, Adapters: adapters})
@@ -217,14 +219,14 @@
 // Register writes the runner's entry.
 func (s *Server) Register() {
 	s.mu.Lock()
-	born := uint64(s.born.UnixMilli())
+	started := uint64(s.started.UnixMilli())
 	address := s.srv.Listener.Addr().String()
 	if s.Reached != nil {
 		address = s.Reached(address)
 	}
 	entry := platform.RunnerMessage{
-		Born: &born, Service: s.Service, Address: address, Zone: s.Place, Slots: s.Slots,
-		State: platform.StateReady, Sequence: s.sequence, Models: s.holdings(),
+		Born: &started, Service: s.Service, Address: address, Zone: s.Place, Slots: s.Slots,
+		State: platform.StateReady, Sequence: s.sequence, Models: s.loadedModels(),
 	}
 	if s.draining {
 		entry.State = platform.StateDraining
@@ -236,8 +238,8 @@
 func (s *Server) report(w http.ResponseWriter, _ *http.Request) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	born := uint64(s.born.UnixMilli())
-	reply(w, http.StatusOK, platform.ReportMessage{Born: &born, Models: s.holdings(), Sequence: s.sequence, Busy: s.busy})
+	started := uint64(s.started.UnixMilli())
+	writeJSON(w, http.StatusOK, platform.ReportMessage{Born: &started, Models: s.loadedModels(), Sequence: s.sequence, Busy: s.busy})
 }
 
 func (s *Server) order(w http.ResponseWriter, r *http.Request) {
@@ -254,13 +256,14 @@
 	w.WriteHeader(status)
 }
 
-// apply carries an order out: at once, but for a model that takes a while to load.
+// apply carries out an order and returns the answer's status. All orders take effect at
+// once, except for loading a model if Load is set. s.mu must be held.
 func (s *Server) apply(load bool, model, adapter string, expected uint64) int {
-	adapters, held := s.models[model]
+	adapters, loaded := s.models[model]
 	if adapter != "" {
-		held = slices.Contains(adapters, adapter)
+		loaded = slices.Contains(adapters, adapter)
 	}
-	if held == load {
+	if loaded == load {
 		return http.StatusOK
 	}
 	if expected != s.sequence || s.busy && adapter == "" {
@@ -269,26 +272,28 @@
 	s.sequence++
 	switch {
 	case adapter == "" && load:
-		s.check("models", len(s.models)+1, s.MaxModels)
+		s.checkBound("models", len(s.models)+1, s.MaxModels)
 		s.loadModel(model)
 	case adapter == "":
 		delete(s.models, model)
 	case load:
 		s.models[model] = append(slices.Clone(adapters), adapter)
-		s.check("adapters", s.adapters(), s.MaxAdapters)
+		s.checkBound("adapters", s.adapterCount(), s.MaxAdapters)
 	default:
 		s.models[model] = slices.DeleteFunc(slices.Clone(adapters), func(a string) bool { return a == adapter })
 	}
 	return http.StatusAccepted
 }
 
-func (s *Server) check(what string, n, most int) {
-	if most > 0 && n > most {
-		s.wrong = append(s.wrong, fmt.Sprintf("%s: %d %s of %d", s.ID, n, what, most))
+// checkBound records a violation if n exceeds a bound; a bound of 0 allows any number.
+func (s *Server) checkBound(kind string, n, bound int) {
+	if bound > 0 && n > bound {
+		s.violations = append(s.violations, fmt.Sprintf("%s: %d %s loaded, at most %d allowed", s.ID, n, kind, bound))
 	}
 }
 
-func (s *Server) adapters() int {
+// adapterCount returns the number of adapters loaded over all models.
+func (s *Server) adapterCount() int {
 	n := 0
 	for _, list := range s.models {
 		n += len(list)
@@ -302,10 +307,10 @@
 		return
 	}
 	s.busy = true
-	born := s.born
+	started := s.started
 	time.AfterFunc(s.Load, func() {
 		s.mu.Lock()
-		if !s.born.Equal(born) {
+		if !s.started.Equal(started) {
 			s.mu.Unlock()
 			return
 		}
@@ -321,7 +326,7 @@
 	if err != nil {
 		return
 	}
-	s.arrive(w.Header())
+	s.recordArrival(w.Header())
 	id := r.Header.Get(platform.HeaderRequestID)
 	w.Header().Set(platform.HeaderRequestID, id)
 	model := r.Header.Get(platform.HeaderModel)
@@ -340,10 +345,10 @@
 	}
 	s.running++
 	s.runs = append(s.runs, Run{ID: id, Target: r.RequestURI, Body: string(body), Model: model, Header: r.Header.Clone(), At: time.Now()})
-	cut, fail := s.cutAfter, s.failing > 0
+	cut, fail := s.cutAfter, s.failures > 0
 	s.cutAfter = 0
 	if fail {
-		s.failing--
+		s.failures--
 	}
 	s.mu.Unlock()
 	defer func() {
@@ -369,28 +374,28 @@
 	_, _ = io.WriteString(w, text)
 }
 
-// crash ends the runner with all of its connections; a stream has begun by then. A
-// request whose caller goes before does nothing.
+// crash makes the runner exit after FatalAfter, with all its connections; the head of a
+// stream has been sent by then. If the caller disconnects first, the runner does not exit.
 func (s *Server) crash(w http.ResponseWriter, r *http.Request) {
 	if s.Events > 0 {
 		w.WriteHeader(http.StatusOK)
-		_ = http.NewResponseController(w).Flush() // the caller may have gone
+		_ = http.NewResponseController(w).Flush() // fails if the caller has disconnected
 	}
 	select {
 	case <-r.Context().Done():
 	case <-time.After(s.FatalAfter):
-		s.end()
+		s.exit()
 	}
 	panic(http.ErrAbortHandler)
 }
 
-// end ends the runner, once.
-func (s *Server) end() {
+// exit closes the listener and all connections and calls Ended, once.
+func (s *Server) exit() {
 	s.mu.Lock()
-	ended := s.ended
-	s.ended = true
+	exited := s.exited
+	s.exited = true
 	s.mu.Unlock()
-	if ended {
+	if exited {
 		return
 	}
 	_ = s.srv.Listener.Close()
@@ -398,19 +403,20 @@
 	s.Ended()
 }
 
-// stream sends events; it stops in the middle of one where it is to be cut.
+// stream sends the events after the one in the Last-Event-Id header. If cut is positive, it
+// closes the connection in the middle of the event after number cut.
 func (s *Server) stream(w http.ResponseWriter, r *http.Request, cut int) {
 	from, _ := strconv.Atoi(r.Header.Get(platform.HeaderLastEvent))
 	w.Header().Set("Content-Type", "text/event-stream")
-	flush := http.NewResponseController(w)
+	rc := http.NewResponseController(w)
 	for i := from + 1; i <= s.Events; i++ {
 		if cut > 0 && i > cut {
 			fmt.Fprintf(w, "id: %d\nda", i)
-			_ = flush.Flush()
+			_ = rc.Flush()
 			panic(http.ErrAbortHandler)
 		}
 		fmt.Fprintf(w, "id: %d\ndata: piece %d\n\n", i, i)
-		if flush.Flush() != nil {
+		if rc.Flush() != nil {
 			return
 		}
 		select {
@@ -421,10 +427,10 @@
 	}
 }
 
-// Addr is where the runner listens.
+// Addr returns the address that the runner listens on.
 func (s *Server) Addr() net.Addr { return s.srv.Listener.Addr() }
 
-func reply(w http.ResponseWriter, status int, body any) {
+func writeJSON(w http.ResponseWriter, status int, body any) {
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(status)
 	_ = json.NewEncoder(w).Encode(body)
--- a/standin/service/service.go
+++ b/standin/service/service.go
@@ -1,5 +1,5 @@
-// Package service is a stand-in of a plain service for tests and the demo. It
-// counts every request that reaches it.
+// Package service is a stand-in for a plain service in tests and the demo. It records
+// every request that it receives.
 package service
 
 import (
@@ -17,13 +17,13 @@
 	"primroseward/standin/faults"
 )
 
-// Faults is what the stand-in does wrong. Counts apply to the next requests.
+// Faults lists the faults that the stand-in injects. Counts apply to the next requests.
 type Faults struct {
 	Silent  int           `json:"silent"` // requests that run but are never answered
-	Cut     int           `json:"cut"`    // requests that run and whose connection is cut
-	Delay   time.Duration `json:"delay"`
+	Cut     int           `json:"cut"`    // requests that run and whose connection is then closed
+	Delay   time.Duration `json:"delay"`  // before each answer
 	Leaving bool          `json:"leaving"`
-	Limit   string        `json:"limit"` // named in each answer; empty: none
+	Limit   string        `json:"limit"` // limit sent in each answer; empty: none
 }
 
 // Run is one request that has run.
@@ -43,7 +43,7 @@
 	runs   []Run
 }
 
-// New returns a service that signs its answers with name.
+// New returns a service that includes name in its answers.
 func New(name string) *Server {
 	s := &Server{name: name}
 	r := chi.NewRouter()
@@ -55,7 +55,7 @@
 	return s
 }
 
-// SetFaults changes what goes wrong from now on.
+// SetFaults replaces the faults to inject.
 func (s *Server) SetFaults(f Faults) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
