--- a/standin/service/service.go
+++ b/standin/service/service.go
@@ -19,11 +19,11 @@
 
 // Faults lists the faults that the stand-in injects. Counts apply to the next requests.
 type Faults struct {
-	Silent  int           `json:"silent"` // requests that run but are never answered
-	Cut     int           `json:"cut"`    // requests that run and whose connection is then closed
-	Delay   time.Duration `json:"delay"`  // before each answer
-	Leaving bool          `json:"leaving"`
-	Limit   string        `json:"limit"` // limit sent in each answer; empty: none
+	Unanswered int           `json:"silent"` // requests that run but are never answered
+	Cut        int           `json:"cut"`    // requests that run and whose connection is then closed
+	Delay      time.Duration `json:"delay"`  // before each answer
+	Leaving    bool          `json:"leaving"`
+	Limit      string        `json:"limit"` // limit sent in each answer; empty: none
 }
 
 // Run is one request that has run.
@@ -88,11 +88,11 @@
 	s.runs = append(s.runs, Run{Method: r.Method, Path: r.URL.RequestURI(), Body: string(body), Key: r.Header.Get(core.HeaderIdempotencyKey)})
 	n := len(s.runs)
 	f := s.faults
-	s.faults.Silent = max(0, f.Silent-1)
+	s.faults.Unanswered = max(0, f.Unanswered-1)
 	s.faults.Cut = max(0, f.Cut-1)
 	s.mu.Unlock()
 	time.Sleep(f.Delay)
-	if f.Silent > 0 {
+	if f.Unanswered > 0 {
 		<-r.Context().Done()
 		return
 	}
