--- a/proof/caller_test.go
+++ b/proof/caller_test.go
@@ -19,21 +19,21 @@
 
 // reply is what a caller got.
 type reply struct {
-	status  int
-	body    string
-	outcome string
-	code    string
-	retry   string
-	place   string
-	runner  string
+	status     int
+	body       string
+	outcome    string
+	code       string
+	retryAfter string
+	dataCentre string
+	runner     string
 }
 
 // errCut says that an answer broke off.
-var errCut = errors.New("the answer was cut")
+var errTruncated = errors.New("the answer was cut")
 
-var callers = &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 100}}
+var callerClient = &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 100}}
 
-func call(client *http.Client, method, url string, in, out any) int {
+func callJSON(client *http.Client, method, url string, in, out any) int {
 	data, _ := json.Marshal(in)
 	req, err := http.NewRequest(method, url, bytes.NewReader(data))
 	if err != nil {
@@ -56,7 +56,7 @@
 // send makes one call without any retry. A request without GetBody is never
 // sent twice by the client itself.
 func (d *daemon) send(method, path, body string, header ...string) (reply, error) {
-	req, err := http.NewRequest(method, "http://"+d.caller+path, io.NopCloser(strings.NewReader(body)))
+	req, err := http.NewRequest(method, "http://"+d.callerAddr+path, io.NopCloser(strings.NewReader(body)))
 	if err != nil {
 		return reply{}, err
 	}
@@ -64,19 +64,19 @@
 	for i := 0; i+1 < len(header); i += 2 {
 		req.Header.Set(header[i], header[i+1])
 	}
-	resp, err := callers.Do(req)
+	resp, err := callerClient.Do(req)
 	if err != nil {
 		return reply{}, err
 	}
 	defer resp.Body.Close()
 	data, err := io.ReadAll(resp.Body)
 	r := reply{
-		status:  resp.StatusCode,
-		body:    string(data),
-		outcome: resp.Header.Get("Primrose-Outcome"),
-		retry:   resp.Header.Get("Retry-After"),
-		place:   resp.Header.Get("Primrose-Place"),
-		runner:  resp.Header.Get("Primrose-Runner"),
+		status:     resp.StatusCode,
+		body:       string(data),
+		outcome:    resp.Header.Get("Primrose-Outcome"),
+		retryAfter: resp.Header.Get("Retry-After"),
+		dataCentre: resp.Header.Get("Primrose-Place"),
+		runner:     resp.Header.Get("Primrose-Runner"),
 	}
 	var e struct {
 		Error struct {
@@ -86,7 +86,7 @@
 	_ = json.Unmarshal(data, &e)
 	r.code = e.Error.Code
 	if err != nil {
-		return r, errors.Join(errCut, err)
+		return r, errors.Join(errTruncated, err)
 	}
 	return r, nil
 }
@@ -101,19 +101,19 @@
 
 // textOf reads the text of an answer, streamed or not. An answer without its
 // end marker is an error.
-func textOf(body string) (string, error) {
+func answerText(body string) (string, error) {
 	if !strings.HasPrefix(body, "data:") {
-		var whole struct {
+		var full struct {
 			Choices []struct {
 				Message struct {
 					Content string `json:"content"`
 				} `json:"message"`
 			} `json:"choices"`
 		}
-		if err := json.Unmarshal([]byte(body), &whole); err != nil || len(whole.Choices) != 1 {
+		if err := json.Unmarshal([]byte(body), &full); err != nil || len(full.Choices) != 1 {
 			return "", fmt.Errorf("not an answer: %s", body)
 		}
-		return whole.Choices[0].Message.Content, nil
+		return full.Choices[0].Message.Content, nil
 	}
 	var text strings.Builder
 	lines := bufio.NewScanner(strings.NewReader(body))
@@ -137,15 +137,15 @@
 		}
 		text.WriteString(chunk.Choices[0].Delta.Content)
 	}
-	return text.String(), errCut
+	return text.String(), errTruncated
 }
 
 // right says whether a reply is the whole answer to a prompt and nothing else.
-func right(r reply, model, prompt string, tokens int) error {
+func checkAnswer(r reply, model, prompt string, tokens int) error {
 	if r.status != http.StatusOK {
 		return fmt.Errorf("status %d: %s", r.status, r.body)
 	}
-	text, err := textOf(r.body)
+	text, err := answerText(r.body)
 	if err != nil {
 		return err
 	}
@@ -157,19 +157,19 @@
 
 // insist asks as callers should: with an id of their own, at another entry
 // when a connection breaks or a refusal says when to come back.
-func (c *cluster) insist(first int, model, prompt string, tokens int, stream bool) error {
+func (c *cluster) chatWithRetries(first int, model, prompt string, tokens int, stream bool) error {
 	id := uuid.NewString()
-	var last error
-	for try := range 40 {
-		d := c.daemons[(first+try)%len(c.daemons)]
+	var lastErr error
+	for attempt := range 40 {
+		d := c.daemons[(first+attempt)%len(c.daemons)]
 		r, err := d.chat(model, prompt, tokens, stream, "Primrose-Request-Id", id)
 		if err == nil && r.status == http.StatusOK {
-			return right(r, model, prompt, tokens)
+			return checkAnswer(r, model, prompt, tokens)
 		}
-		last = fmt.Errorf("try %d at %s: %v, status %d, %s", try, d.name, err, r.status, r.body)
+		lastErr = fmt.Errorf("try %d at %s: %v, status %d, %s", attempt, d.name, err, r.status, r.body)
 		time.Sleep(200 * time.Millisecond)
 	}
-	return last
+	return lastErr
 }
 
 func checkErrors(t *testing.T, errs []error) {
--- a/proof/cluster_test.go
+++ b/proof/cluster_test.go
@@ -27,15 +27,15 @@
 )
 
 // binary is the daemon, built once for all tests.
-var binary string
+var daemonBinary string
 
 func TestMain(m *testing.M) {
 	dir, err := os.MkdirTemp("", "proof")
 	if err != nil {
 		panic(err)
 	}
-	binary = filepath.Join(dir, "primrosed")
-	build := exec.Command("go", "build", "-race", "-o", binary, "primroseward/cmd/primrosed")
+	daemonBinary = filepath.Join(dir, "primrosed")
+	build := exec.Command("go", "build", "-race", "-o", daemonBinary, "primroseward/cmd/primrosed")
 	build.Stderr = os.Stderr
 	if err := build.Run(); err != nil {
 		panic(err)
@@ -47,73 +47,73 @@
 
 // cluster is a system with its surroundings.
 type cluster struct {
-	t        *testing.T
-	platform *platform.Server
-	platAddr string
-	engines  map[string]*engine.Server
-	services map[string]*plain.Server
-	daemons  []*daemon
-	root     *tree.Node
+	t            *testing.T
+	platform     *platform.Server
+	platformAddr string
+	engines      map[string]*engine.Server
+	services     map[string]*plain.Server
+	daemons      []*daemon
+	root         *tree.Node
 }
 
 // daemon is one primrosed process.
 type daemon struct {
-	c      *cluster
-	name   string
-	place  string
-	caller string
-	peer   string
-	admin  string
-	seeds  []string
-	cmd    *exec.Cmd
-	log    string
-	done   chan struct{}
+	c          *cluster
+	name       string
+	dataCentre string
+	callerAddr string
+	peerAddr   string
+	adminAddr  string
+	seeds      []string
+	cmd        *exec.Cmd
+	log        string
+	done       chan struct{}
 }
 
 // spec is what a test asks for.
-type spec struct {
-	daemons int
-	places  []string
-	engines []engineSpec
-	plain   []string // names; each is a service "parts" endpoint
+type clusterSpec struct {
+	daemons        int
+	dataCentres    []string
+	engines        []engineSpec
+	plainEndpoints []string // names; each is a service "parts" endpoint
 	// serve makes the server of an endpoint and returns its address; nil: a common one.
 	serve func(h http.Handler) string
 }
 
 type engineSpec struct {
-	name  string
-	place string
-	cfg   engine.Config
+	name       string
+	dataCentre string
+	cfg        engine.Config
 }
 
 const gb = 1000 * 1000 * 1000
 
-func small() spec {
+func defaultSpec() clusterSpec {
 	cfg := engine.Config{Memory: 80 * gb, Slots: 8, Token: 2 * time.Millisecond, Load: 50 * time.Millisecond}
 	fenced := cfg
 	fenced.Fenced = true
-	return spec{
-		daemons: 3,
-		places:  []string{"north", "south"},
-		engines: []engineSpec{{"e1", "north", fenced}, {"e2", "south", cfg}, {"e3", "south", cfg}},
-		plain:   []string{"p1"},
+	return clusterSpec{
+		daemons:        3,
+		dataCentres:    []string{"north", "south"},
+		engines:        []engineSpec{{"e1", "north", fenced}, {"e2", "south", cfg}, {"e3", "south", cfg}},
+		plainEndpoints: []string{"p1"},
 	}
 }
 
 // start brings up a cluster whose models are all ready.
-func start(t *testing.T, s spec) *cluster {
+func startCluster(t *testing.T, s clusterSpec) *cluster {
 	t.Helper()
 	c := &cluster{t: t, platform: platform.New(), engines: map[string]*engine.Server{}, services: map[string]*plain.Server{}}
-	c.platAddr = c.serve(c.platform)
-	c.root = c.tree(s)
+	c.platformAddr = c.serve(c.platform)
+	c.root = c.settingsTree(s)
 	for i := range s.daemons {
-		d := &daemon{c: c, name: fmt.Sprintf("vm-%d", i+1), place: s.places[i%len(s.places)]}
-		d.caller, d.peer, d.admin = freePort(t), freePort(t), freePort(t)
+		d := &daemon{c: c, name: fmt.Sprintf("vm-%d", i+1), dataCentre: s.dataCentres[i%len(s.dataCentres)]}
+		d.callerAddr, d.peerAddr, d.adminAddr = freePort(t), freePort(t), freePort(t)
 		c.daemons = append(c.daemons, d)
 	}
 	for _, d := range c.daemons {
 		for _, other := range c.daemons {
-			d.seeds = append(d.seeds, other.peer)
+			d.seeds = append(d.seeds, other.peerAddr)
 		}
 		d.start()
 	}
@@ -125,7 +125,7 @@
 			c.dumpLogs()
 		}
 	})
-	c.apply()
+	c.applyTree()
 	c.awaitReady()
 	return c
 }
@@ -146,17 +146,17 @@
 	return addr
 }
 
-func yes() *bool { b := true; return &b }
+func truePtr() *bool { b := true; return &b }
 
-func no() *bool { b := false; return &b }
+func falsePtr() *bool { b := false; return &b }
 
 // tree is a settings tree: service chat with model m (anywhere) and service
 // review with model r (south only, not to be repeated), and plain service
 // parts, whose orders may not be repeated.
-func (c *cluster) tree(s spec) *tree.Node {
-	south := []string{s.places[len(s.places)-1]}
+func (c *cluster) settingsTree(s clusterSpec) *tree.Node {
+	south := []string{s.dataCentres[len(s.dataCentres)-1]}
 	root := &tree.Node{
-		Set:       tree.Settings{Places: &s.places},
+		Set:       tree.Settings{Places: &s.dataCentres},
 		Store:     &tree.Store{Rate: 50, Slots: 4},
 		Endpoints: map[string]tree.Endpoint{},
 		Children: map[string]*tree.Node{
@@ -166,7 +166,7 @@
 			},
 			"service/review": {
 				Service:  &tree.Service{Kind: tree.KindModel},
-				Set:      tree.Settings{Places: &south, Repeat: no()},
+				Set:      tree.Settings{Places: &south, Repeat: falsePtr()},
 				Children: map[string]*tree.Node{"model/r": {Model: &tree.Model{Version: "1", Memory: 20 * gb}}},
 			},
 			"service/parts": {
@@ -182,13 +182,13 @@
 		srv := engine.New(e.cfg)
 		c.engines[e.name] = srv
 		root.Endpoints[e.name] = tree.Endpoint{
-			Addr: serve(srv), Place: e.place, Kind: tree.KindModel, Memory: 80 * gb, Cache: 16 * gb, Slots: e.cfg.Slots, Fenced: e.cfg.Fenced,
+			Addr: serve(srv), Place: e.dataCentre, Kind: tree.KindModel, Memory: 80 * gb, Cache: 16 * gb, Slots: e.cfg.Slots, Fenced: e.cfg.Fenced,
 		}
 	}
-	for _, name := range s.plain {
+	for _, name := range s.plainEndpoints {
 		srv := plain.New(name)
 		c.services[name] = srv
-		root.Endpoints[name] = tree.Endpoint{Addr: serve(srv), Place: s.places[0], Kind: tree.KindPlain, Service: "parts", Slots: 16}
+		root.Endpoints[name] = tree.Endpoint{Addr: serve(srv), Place: s.dataCentres[0], Kind: tree.KindPlain, Service: "parts", Slots: 16}
 	}
 	return root
 }
@@ -197,11 +197,11 @@
 	t := d.c.t
 	t.Helper()
 	dir := t.TempDir()
-	file := map[string]any{
-		"name": d.name, "place": d.place, "caller": d.caller, "peer": d.peer, "admin": d.admin,
-		"platform": d.c.platAddr, "seeds": d.seeds, "limits": map[string]any{"platform": 100},
+	settings := map[string]any{
+		"name": d.name, "place": d.dataCentre, "caller": d.callerAddr, "peer": d.peerAddr, "admin": d.adminAddr,
+		"platform": d.c.platformAddr, "seeds": d.seeds, "limits": map[string]any{"platform": 100},
 	}
-	data, err := json.Marshal(file)
+	data, err := json.Marshal(settings)
 	assert.NilError(t, err)
 	path := filepath.Join(dir, "settings.json")
 	assert.NilError(t, os.WriteFile(path, data, 0o600))
@@ -209,7 +209,7 @@
 	out, err := os.Create(d.log)
 	assert.NilError(t, err)
 	defer out.Close()
-	d.cmd = exec.Command(binary, "--config", path)
+	d.cmd = exec.Command(daemonBinary, "--config", path)
 	d.cmd.Stdout, d.cmd.Stderr = out, out
 	assert.NilError(t, d.cmd.Start())
 	d.done = make(chan struct{})
@@ -228,7 +228,7 @@
 }
 
 // stopped says whether a graceful stop has ended.
-func (d *daemon) stopped() bool {
+func (d *daemon) exited() bool {
 	select {
 	case <-d.done:
 		return true
@@ -247,43 +247,43 @@
 	}
 }
 
-func within(d time.Duration) []poll.SettingOp {
+func pollWithin(d time.Duration) []poll.SettingOp {
 	return []poll.SettingOp{poll.WithTimeout(d), poll.WithDelay(50 * time.Millisecond)}
 }
 
 // until waits for a condition; its bound is generous, since a wait that ends
 // early costs nothing.
-func (c *cluster) until(what string, d time.Duration, ok func() bool) {
+func (c *cluster) waitFor(what string, d time.Duration, ok func() bool) {
 	c.t.Helper()
 	poll.WaitOn(c.t, func(poll.LogT) poll.Result {
 		if ok() {
 			return poll.Success()
 		}
 		return poll.Continue("not yet: %s", what)
-	}, within(d)...)
+	}, pollWithin(d)...)
 }
 
 // apply writes the cluster's tree through the first daemon.
-func (c *cluster) apply() {
+func (c *cluster) applyTree() {
 	c.t.Helper()
-	c.until("the tree is accepted", 20*time.Second, func() bool {
+	c.waitFor("the tree is accepted", 20*time.Second, func() bool {
 		return c.daemons[0].adminCall(http.MethodPost, "/admin/tree", c.root, nil) == http.StatusOK
 	})
 }
 
 func (c *cluster) awaitReady() {
 	c.t.Helper()
-	c.until("all models and settings are in force", 30*time.Second, func() bool {
+	c.waitFor("all models and settings are in force", 30*time.Second, func() bool {
 		var s service.Status
 		if c.daemons[0].adminCall(http.MethodGet, "/admin/status", nil, &s) != http.StatusOK {
 			return false
 		}
-		return s.InForce && len(s.Members) == len(c.daemons) && c.served("m", len(c.engines)-1) && c.served("r", 1)
+		return s.InForce && len(s.Members) == len(c.daemons) && c.hasReplicas("m", len(c.engines)-1) && c.hasReplicas("r", 1)
 	})
 }
 
 // served says whether at least n engines have a model ready and reported.
-func (c *cluster) served(model string, n int) bool {
+func (c *cluster) hasReplicas(model string, n int) bool {
 	var runners []service.RunnerStatus
 	c.daemons[0].adminCall(http.MethodGet, "/admin/runners", nil, &runners)
 	for _, r := range runners {
@@ -296,10 +296,10 @@
 	return n <= 0
 }
 
-func (c *cluster) owner(runner string) *daemon {
+func (c *cluster) ownerOf(runner string) *daemon {
 	var runners []service.RunnerStatus
-	for _, asked := range c.daemons {
-		if asked.adminCall(http.MethodGet, "/admin/runners", nil, &runners) == http.StatusOK {
+	for _, queried := range c.daemons {
+		if queried.adminCall(http.MethodGet, "/admin/runners", nil, &runners) == http.StatusOK {
 			break
 		}
 	}
@@ -316,10 +316,10 @@
 var adminClient = &http.Client{Timeout: 8 * time.Second}
 
 func (d *daemon) adminCall(method, path string, in, out any) int {
-	return call(adminClient, method, "http://"+d.admin+path, in, out)
+	return callJSON(adminClient, method, "http://"+d.adminAddr+path, in, out)
 }
 
-func (c *cluster) noOverCommit() {
+func (c *cluster) checkNoOverCommit() {
 	c.t.Helper()
 	for name, e := range c.engines {
 		assert.Check(c.t, e.Peak() <= 80*gb, "engine %s held %d bytes", name, e.Peak())
@@ -327,7 +327,7 @@
 }
 
 // each runs fn n times at once and waits.
-func each(n int, fn func(i int)) {
+func runConcurrently(n int, fn func(i int)) {
 	var wg sync.WaitGroup
 	for i := range n {
 		wg.Add(1)
--- a/proof/crash_test.go
+++ b/proof/crash_test.go
@@ -23,104 +23,104 @@
 
 const (
 	// fatal begins the body of a request that ends each runner that begins to run it.
-	fatal = "fatal"
+	fatalBody = "fatal"
 	// crashesBorne is how many runners may end under a request before it is stopped,
 	// retriesBorne how many times it may reach runners later than settleTime after that.
-	crashesBorne = 3
-	retriesBorne = 3
-	settleTime   = 3 * time.Second
+	maxCrashes  = 3
+	maxLateRuns = 3
+	settleTime  = 3 * time.Second
 	// backAfter is how long a runner that has ended stays away.
-	backAfter = 3 * time.Second
+	runnerRestartDelay = 3 * time.Second
 	// returnGap is the time between a caller's attempts.
-	returnGap = 150 * time.Millisecond
+	callerRetryInterval = 150 * time.Millisecond
 	// crashRunners are twice as many as two fatal requests end before they are known: three
 	// attempts at three daemons at once, each of which goes on at a second runner. What is
 	// left serves the others.
-	crashRunners = 24
+	crashingRunnerCount = 24
 	// harmlessCallers at each daemon send a harmless request again and again.
-	harmlessCallers = 3
+	harmlessCallersPerDaemon = 3
 	// servedShare is the least share of harmless requests that are served beside fatal
 	// ones, in per cent.
-	servedShare = 95
+	minServedPercent = 95
 )
 
 // crashes are runners that end under fatal requests and are back a moment later, each
 // under a new id.
-type crashes struct {
-	c     *fleetCluster
-	spec  runner.Spec
-	mu    sync.Mutex
-	all   []*runner.Server
-	ended []time.Time
-	over  bool // the test has ended: no runner comes back
+type crashingRunners struct {
+	c          *fleetCluster
+	spec       runner.Spec
+	mu         sync.Mutex
+	all        []*runner.Server
+	crashTimes []time.Time
+	testEnded  bool // the test has ended: no runner comes back
 }
 
 // startCrashes puts n such runners in the place of the cluster's.
-func (c *fleetCluster) startCrashes(n int, spec runner.Spec) *crashes {
+func (c *fleetCluster) startCrashingRunners(n int, spec runner.Spec) *crashingRunners {
 	c.t.Helper()
-	k := &crashes{c: c, spec: spec}
+	crashing := &crashingRunners{c: c, spec: spec}
 	for _, r := range c.runners {
 		if r.Service == spec.Service {
 			r.Kill()
-			assert.Assert(c.t, c.removed(wire.KindRunners, r.ID))
+			assert.Assert(c.t, c.deleteObject(wire.KindRunners, r.ID))
 		}
 	}
 	c.t.Cleanup(func() {
-		k.mu.Lock()
-		defer k.mu.Unlock()
-		k.over = true
+		crashing.mu.Lock()
+		defer crashing.mu.Unlock()
+		crashing.testEnded = true
 	})
 	for range n {
-		k.start()
+		crashing.add()
 	}
-	return k
+	return crashing
 }
 
 // start brings one more runner up; the caller holds the lock, if others can know k.
-func (k *crashes) start() {
-	spec := k.spec
-	spec.ID, spec.Place = fmt.Sprintf("i-%s-crash-%d", spec.Service, len(k.all)+1), []string{"north", "south"}[len(k.all)%2]
-	spec.Fatal = func(body string) bool { return strings.HasPrefix(body, fatal) }
+func (crashing *crashingRunners) add() {
+	spec := crashing.spec
+	spec.ID, spec.Place = fmt.Sprintf("i-%s-crash-%d", spec.Service, len(crashing.all)+1), []string{"north", "south"}[len(crashing.all)%2]
+	spec.Fatal = func(body string) bool { return strings.HasPrefix(body, fatalBody) }
 	var r *runner.Server
-	spec.Ended = func() { k.end(r) }
-	r = runner.New(spec, k.c.put)
-	k.c.t.Cleanup(r.Kill)
-	k.all = append(k.all, r)
+	spec.Ended = func() { crashing.crashed(r) }
+	r = runner.New(spec, crashing.c.put)
+	crashing.c.t.Cleanup(r.Kill)
+	crashing.all = append(crashing.all, r)
 }
 
 // end replaces a runner that has ended.
-func (k *crashes) end(r *runner.Server) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	k.ended = append(k.ended, time.Now())
-	time.AfterFunc(backAfter, func() { k.replace(r) })
+func (crashing *crashingRunners) crashed(r *runner.Server) {
+	crashing.mu.Lock()
+	defer crashing.mu.Unlock()
+	crashing.crashTimes = append(crashing.crashTimes, time.Now())
+	time.AfterFunc(runnerRestartDelay, func() { crashing.replace(r) })
 }
 
-func (k *crashes) replace(r *runner.Server) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	if k.over {
+func (crashing *crashingRunners) replace(r *runner.Server) {
+	crashing.mu.Lock()
+	defer crashing.mu.Unlock()
+	if crashing.testEnded {
 		return
 	}
-	if !k.c.removed(wire.KindRunners, r.ID) {
-		time.AfterFunc(backAfter, func() { k.replace(r) }) // the store is away
+	if !crashing.c.deleteObject(wire.KindRunners, r.ID) {
+		time.AfterFunc(runnerRestartDelay, func() { crashing.replace(r) }) // the store is away
 		return
 	}
-	k.start()
+	crashing.add()
 }
 
-func (k *crashes) count() int {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	return len(k.ended)
+func (crashing *crashingRunners) crashCount() int {
+	crashing.mu.Lock()
+	defer crashing.mu.Unlock()
+	return len(crashing.crashTimes)
 }
 
 // arrivals are the times at which requests of a body have begun to run.
-func (k *crashes) arrivals(body string) []time.Time {
-	k.mu.Lock()
-	defer k.mu.Unlock()
+func (crashing *crashingRunners) runTimes(body string) []time.Time {
+	crashing.mu.Lock()
+	defer crashing.mu.Unlock()
 	var out []time.Time
-	for _, r := range k.all {
+	for _, r := range crashing.all {
 		for _, run := range r.Runs() {
 			if run.Body == body {
 				out = append(out, run.At)
@@ -132,33 +132,33 @@
 }
 
 // late counts the runs of a body later than settleTime after enough runners ended.
-func (k *crashes) late(body string) int {
-	at := k.arrivals(body)
-	if len(at) <= crashesBorne {
+func (crashing *crashingRunners) lateRuns(body string) int {
+	at := crashing.runTimes(body)
+	if len(at) <= maxCrashes {
 		return 0
 	}
-	settled := at[crashesBorne-1].Add(settleTime)
+	settled := at[maxCrashes-1].Add(settleTime)
 	return len(at) - slices.IndexFunc(append(at, settled.Add(time.Hour)), func(t time.Time) bool { return t.After(settled) })
 }
 
 // attempt is a caller's request.
-type attempt struct {
+type callerRequest struct {
 	path, body, model string
-	addresses         byte // from which its caller sends it, one if it is 0
+	sourceAddresses   byte // from which its caller sends it, one if it is 0
 }
 
 // repeat sends requests again and again, each to a daemon drawn at random, for a time.
-func (c *fleetCluster) repeat(long time.Duration, list ...attempt) {
-	for end := time.Now().Add(long); time.Now().Before(end); time.Sleep(returnGap) {
+func (c *fleetCluster) sendRepeatedly(duration time.Duration, list ...callerRequest) {
+	for end := time.Now().Add(duration); time.Now().Before(end); time.Sleep(callerRetryInterval) {
 		for _, a := range list {
-			from := net.IPv4(127, 0, 0, 1+rand.N(max(1, a.addresses)))
+			from := net.IPv4(127, 0, 0, 1+rand.N(max(1, a.sourceAddresses)))
 			go func() { _, _, _ = c.daemons[rand.N(len(c.daemons))].sendFrom(from, a.path, a.body, a.model) }() // whatever it is told
 		}
 	}
 }
 
 // awaitServed waits until each daemon knows the runners that serve a request.
-func (c *fleetCluster) awaitServed(a attempt) {
+func (c *fleetCluster) awaitServed(a callerRequest) {
 	c.t.Helper()
 	for _, d := range c.daemons {
 		poll.WaitOn(c.t, func(poll.LogT) poll.Result {
@@ -172,40 +172,40 @@
 }
 
 // served counts what callers of a harmless request got.
-type served struct {
-	mu    sync.Mutex
-	all   int
-	whole int
-	lost  map[string]int // by what was told
+type callStats struct {
+	mu     sync.Mutex
+	total  int
+	ok     int
+	failed map[string]int // by what was told
 }
 
-func (s *served) count(status int, body string, err error) {
+func (s *callStats) add(status int, body string, err error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.all++
+	s.total++
 	if err == nil && status == http.StatusOK {
-		s.whole++
+		s.ok++
 		return
 	}
-	s.lost[fmt.Sprintf("%d %v %.60s", status, err, body)]++
+	s.failed[fmt.Sprintf("%d %v %.60s", status, err, body)]++
 }
 
 // repeatHarmless sends a harmless request again and again, at each daemon, until stop is
 // called, which waits.
-func (c *fleetCluster) repeatHarmless(a attempt) (s *served, stop func()) {
-	s = &served{lost: map[string]int{}}
+func (c *fleetCluster) startHarmlessCallers(a callerRequest) (s *callStats, stop func()) {
+	s = &callStats{failed: map[string]int{}}
 	done := make(chan struct{})
 	var wg sync.WaitGroup
-	for i := range harmlessCallers * len(c.daemons) {
+	for i := range harmlessCallersPerDaemon * len(c.daemons) {
 		d := c.daemons[i%len(c.daemons)]
 		wg.Go(func() {
 			for {
 				status, body, err := d.send(a.path, a.body, a.model)
-				s.count(status, body, err)
+				s.add(status, body, err)
 				select {
 				case <-done:
 					return
-				case <-time.After(returnGap):
+				case <-time.After(callerRetryInterval):
 				}
 			}
 		})
@@ -217,11 +217,11 @@
 }
 
 var (
-	models = runner.Spec{Service: "gen", Slots: 8, Models: []string{"m1", "m2"}, Events: 20, Gap: 40 * time.Millisecond, FatalAfter: 70 * time.Millisecond}
-	plains = runner.Spec{Service: "app", Slots: 8, Gap: 800 * time.Millisecond, FatalAfter: 70 * time.Millisecond}
+	modelRunner = runner.Spec{Service: "gen", Slots: 8, Models: []string{"m1", "m2"}, Events: 20, Gap: 40 * time.Millisecond, FatalAfter: 70 * time.Millisecond}
+	plainRunner = runner.Spec{Service: "app", Slots: 8, Gap: 800 * time.Millisecond, FatalAfter: 70 * time.Millisecond}
 )
 
-func slow(s runner.Spec) runner.Spec {
+func crashLate(s runner.Spec) runner.Spec {
 	s.FatalAfter = 400 * time.Millisecond
 	return s
 }
@@ -237,33 +237,33 @@
 	for _, tt := range []struct {
 		name     string
 		runners  runner.Spec
-		fatal    []attempt
-		harmless attempt
+		fatal    []callerRequest
+		harmless callerRequest
 	}{
-		{"a stream", models, []attempt{{path: "/gen/x", body: fatal, model: "m1"}}, attempt{path: "/gen/x", body: "harmless", model: "m1"}},
-		{"a slow one", slow(models), []attempt{{path: "/gen/x", body: fatal, model: "m1"}}, attempt{path: "/gen/x", body: "harmless", model: "m1"}},
-		{"from many addresses", models, []attempt{{path: "/gen/x", body: fatal, model: "m1", addresses: 200}}, attempt{path: "/gen/x", body: "harmless", model: "m1"}},
-		{"two", models, []attempt{{path: "/gen/x", body: fatal, model: "m1"}, {path: "/gen/y", body: fatal + "2", model: "m2"}}, attempt{path: "/gen/x", body: "harmless", model: "m1"}},
-		{"an adapter's", models, []attempt{{path: "/gen/x", body: fatal, model: "m1/a1"}}, attempt{path: "/gen/x", body: "harmless", model: "m1"}},
-		{"one that may not be repeated", plains, []attempt{{path: "/order/x", body: fatal, model: ""}}, attempt{path: "/order/x", body: "harmless", model: ""}},
-		{"a slow one that may be repeated", slow(plains), []attempt{{path: "/ask/x", body: fatal, model: ""}}, attempt{path: "/ask/x", body: "harmless", model: ""}},
+		{"a stream", modelRunner, []callerRequest{{path: "/gen/x", body: fatalBody, model: "m1"}}, callerRequest{path: "/gen/x", body: "harmless", model: "m1"}},
+		{"a slow one", crashLate(modelRunner), []callerRequest{{path: "/gen/x", body: fatalBody, model: "m1"}}, callerRequest{path: "/gen/x", body: "harmless", model: "m1"}},
+		{"from many addresses", modelRunner, []callerRequest{{path: "/gen/x", body: fatalBody, model: "m1", sourceAddresses: 200}}, callerRequest{path: "/gen/x", body: "harmless", model: "m1"}},
+		{"two", modelRunner, []callerRequest{{path: "/gen/x", body: fatalBody, model: "m1"}, {path: "/gen/y", body: fatalBody + "2", model: "m2"}}, callerRequest{path: "/gen/x", body: "harmless", model: "m1"}},
+		{"an adapter's", modelRunner, []callerRequest{{path: "/gen/x", body: fatalBody, model: "m1/a1"}}, callerRequest{path: "/gen/x", body: "harmless", model: "m1"}},
+		{"one that may not be repeated", plainRunner, []callerRequest{{path: "/order/x", body: fatalBody, model: ""}}, callerRequest{path: "/order/x", body: "harmless", model: ""}},
+		{"a slow one that may be repeated", crashLate(plainRunner), []callerRequest{{path: "/ask/x", body: fatalBody, model: ""}}, callerRequest{path: "/ask/x", body: "harmless", model: ""}},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
 			t.Parallel()
 			c := startFleet(t, 3)
-			k := c.startCrashes(crashRunners, tt.runners)
+			crashing := c.startCrashingRunners(crashingRunnerCount, tt.runners)
 			c.awaitServed(tt.harmless)
-			got, stop := c.repeatHarmless(tt.harmless)
+			got, stop := c.startHarmlessCallers(tt.harmless)
 			time.Sleep(time.Second)
-			c.repeat(9*time.Second, tt.fatal...)
+			c.sendRepeatedly(9*time.Second, tt.fatal...)
 			time.Sleep(time.Second)
 			stop()
 			for _, a := range tt.fatal {
-				late := k.late(a.body)
-				t.Logf("%s: %d runs, %d of them late; %d runners ended; harmless %d of %d, lost %v", a.body, len(k.arrivals(a.body)), late, k.count(), got.whole, got.all, got.lost)
-				assert.Check(t, late <= retriesBorne, "%s: %d more runs, %d runners ended in all", a.body, late, k.count())
+				late := crashing.lateRuns(a.body)
+				t.Logf("%s: %d runs, %d of them late; %d runners ended; harmless %d of %d, lost %v", a.body, len(crashing.runTimes(a.body)), late, crashing.crashCount(), got.ok, got.total, got.failed)
+				assert.Check(t, late <= maxLateRuns, "%s: %d more runs, %d runners ended in all", a.body, late, crashing.crashCount())
 			}
-			assert.Check(t, got.whole*100 >= servedShare*got.all, "harmless: %d of %d", got.whole, got.all)
+			assert.Check(t, got.ok*100 >= minServedPercent*got.total, "harmless: %d of %d", got.ok, got.total)
 		})
 	}
 }
@@ -273,16 +273,16 @@
 // while the store is away from the others.
 func TestHeldRequestOutlivesDaemons(t *testing.T) {
 	c := startFleet(t, 3)
-	k := c.startCrashes(6, models)
-	c.awaitServed(attempt{path: "/gen/x", body: "harmless", model: "m1"})
-	a := attempt{path: "/gen/x", body: fatal, model: "m1"}
-	c.repeat(2*time.Second, a)
-	kept := func() bool {
-		out, _ := c.ctl(c.daemons[0], "", "holds", "--json")
+	crashing := c.startCrashingRunners(6, modelRunner)
+	c.awaitServed(callerRequest{path: "/gen/x", body: "harmless", model: "m1"})
+	a := callerRequest{path: "/gen/x", body: fatalBody, model: "m1"}
+	c.sendRepeatedly(2*time.Second, a)
+	held := func() bool {
+		out, _ := c.primrosectl(c.daemons[0], "", "holds", "--json")
 		return strings.Contains(out, `"state": "held"`)
 	}
 	poll.WaitOn(t, func(poll.LogT) poll.Result {
-		if !kept() {
+		if !held() {
 			return poll.Continue("not kept")
 		}
 		return poll.Success()
@@ -293,24 +293,24 @@
 	}
 	for _, d := range c.daemons {
 		d.run(c)
-		c.await(d, http.StatusOK)
+		c.awaitReadyStatus(d, http.StatusOK)
 	}
 	time.Sleep(settleTime)
-	before := len(k.arrivals(fatal))
-	c.repeat(2*time.Second, a)
-	assert.Check(t, len(k.arrivals(fatal))-before <= 1, "%d more runs after a loss of all daemons", len(k.arrivals(fatal))-before)
+	before := len(crashing.runTimes(fatalBody))
+	c.sendRepeatedly(2*time.Second, a)
+	assert.Check(t, len(crashing.runTimes(fatalBody))-before <= 1, "%d more runs after a loss of all daemons", len(crashing.runTimes(fatalBody))-before)
 	c.store.SetFaults(platform.Faults{Down: true})
 	c.daemons[2].restart(c)
-	c.await(c.daemons[2], http.StatusOK)
+	c.awaitReadyStatus(c.daemons[2], http.StatusOK)
 	time.Sleep(settleTime)
-	before = len(k.arrivals(fatal))
+	before = len(crashing.runTimes(fatalBody))
 	for range 10 {
 		status, body, err := c.daemons[2].send(a.path, a.body, a.model)
 		assert.NilError(t, err)
 		assert.Equal(t, status, http.StatusServiceUnavailable, body)
 		assert.Assert(t, strings.Contains(body, "held_back"), body)
 	}
-	assert.Equal(t, len(k.arrivals(fatal)), before)
+	assert.Equal(t, len(crashing.runTimes(fatalBody)), before)
 	c.store.SetFaults(platform.Faults{})
 }
 
@@ -319,12 +319,12 @@
 // served at all daemons.
 func TestOperatorReleasesHeldRequest(t *testing.T) {
 	c := startFleet(t, 2)
-	k := c.startCrashes(5, models)
-	c.awaitServed(attempt{path: "/gen/x", body: "harmless", model: "m1"})
-	a := attempt{path: "/gen/x", body: fatal, model: "m1"}
-	c.repeat(2*time.Second, a)
+	crashing := c.startCrashingRunners(5, modelRunner)
+	c.awaitServed(callerRequest{path: "/gen/x", body: "harmless", model: "m1"})
+	a := callerRequest{path: "/gen/x", body: fatalBody, model: "m1"}
+	c.sendRepeatedly(2*time.Second, a)
 	time.Sleep(time.Second)
-	out, code := c.ctl(c.daemons[0], "", "holds")
+	out, code := c.primrosectl(c.daemons[0], "", "holds")
 	assert.Equal(t, code, 0, out)
 	assert.Assert(t, strings.Contains(out, "gen") && strings.Contains(out, "held"), out)
 	var digest string
@@ -333,12 +333,12 @@
 			digest = f[0]
 		}
 	}
-	k.mu.Lock()
-	k.spec.Fatal = nil
-	k.mu.Unlock()
-	out, code = c.ctl(c.daemons[0], "", "holds", "release", strings.Repeat("0", 32))
+	crashing.mu.Lock()
+	crashing.spec.Fatal = nil
+	crashing.mu.Unlock()
+	out, code = c.primrosectl(c.daemons[0], "", "holds", "release", strings.Repeat("0", 32))
 	assert.Equal(t, code, 5, out)
-	out, code = c.ctl(c.daemons[0], "", "holds", "release", digest)
+	out, code = c.primrosectl(c.daemons[0], "", "holds", "release", digest)
 	assert.Equal(t, code, 0, out)
 	for _, d := range c.daemons {
 		poll.WaitOn(t, func(poll.LogT) poll.Result {
@@ -352,6 +352,6 @@
 }
 
 // removed deletes an object as the platform does, and says whether the store did so.
-func (c *fleetCluster) removed(kind, name string) bool {
-	return call(adminClient, http.MethodDelete, "http://"+c.addr+wire.PathObjects+kind+"/"+name, nil, nil) < http.StatusMultipleChoices
+func (c *fleetCluster) deleteObject(kind, name string) bool {
+	return callJSON(adminClient, http.MethodDelete, "http://"+c.addr+wire.PathObjects+kind+"/"+name, nil, nil) < http.StatusMultipleChoices
 }
--- a/proof/fleet_cluster_test.go
+++ b/proof/fleet_cluster_test.go
@@ -36,12 +36,12 @@
 
 // fleetDaemon is one primrosed process that serves through the platform.
 type fleetDaemon struct {
-	name, caller, ready, directory, admin string
-	cmd                                   *exec.Cmd
-	log, file                             string
+	name, callerAddr, readyAddr, directoryAddr, adminAddr string
+	cmd                                                   *exec.Cmd
+	log, file                                             string
 }
 
-const grace = 4 * time.Second
+const gracePeriod = 4 * time.Second
 
 // startFleet brings up the store, two runners of each service and n daemons.
 func startFleet(t *testing.T, n int) *fleetCluster {
@@ -67,7 +67,7 @@
 		c.startDaemon(fmt.Sprintf("vm-%d", i+1), []string{"north", "south"}[i%2])
 	}
 	for _, d := range c.daemons {
-		c.await(d, http.StatusOK)
+		c.awaitReadyStatus(d, http.StatusOK)
 	}
 	return c
 }
@@ -104,20 +104,20 @@
 	assert.NilError(c.t, err)
 	base := "http://" + c.addr + wire.PathObjects + kind
 	item := wire.Item{Metadata: wire.Meta{Name: name}, Spec: body}
-	if call(adminClient, http.MethodPost, base, item, nil) == http.StatusConflict {
-		assert.Equal(c.t, call(adminClient, http.MethodPut, base+"/"+name, item, nil), http.StatusOK)
+	if callJSON(adminClient, http.MethodPost, base, item, nil) == http.StatusConflict {
+		assert.Equal(c.t, callJSON(adminClient, http.MethodPut, base+"/"+name, item, nil), http.StatusOK)
 	}
 }
 
-func (c *fleetCluster) startDaemon(name, place string) *fleetDaemon {
+func (c *fleetCluster) startDaemon(name, dataCentre string) *fleetDaemon {
 	c.t.Helper()
-	d := &fleetDaemon{name: name, caller: freePort(c.t), ready: freePort(c.t), directory: freePort(c.t), admin: freePort(c.t)}
+	d := &fleetDaemon{name: name, callerAddr: freePort(c.t), readyAddr: freePort(c.t), directoryAddr: freePort(c.t), adminAddr: freePort(c.t)}
 	dir := c.t.TempDir()
 	file := filepath.Join(dir, "primrosed.json")
 	text := fmt.Sprintf(`{"name":%q,"place":%q,"caller":%q,"peer":%q,"admin":%q,"platform":%q,"fleet":{"ready":%q,"directory":%q,
 		"keep":"1s","grace":%q,"lease":"500ms","ratio":0.2,"slack":20,"window":"10s",
 		"quota":{"window":"2s","over":0.1,"slack":200}}}`,
-		name, place, d.caller, freePort(c.t), d.admin, c.addr, d.ready, d.directory, grace.String())
+		name, dataCentre, d.callerAddr, freePort(c.t), d.adminAddr, c.addr, d.readyAddr, d.directoryAddr, gracePeriod.String())
 	assert.NilError(c.t, os.WriteFile(file, []byte(text), 0o600))
 	d.log, d.file = filepath.Join(dir, "log"), file
 	d.run(c)
@@ -139,7 +139,7 @@
 	c.t.Helper()
 	out, err := os.OpenFile(d.log, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
 	assert.NilError(c.t, err)
-	d.cmd = exec.Command(binary, "--config", d.file)
+	d.cmd = exec.Command(daemonBinary, "--config", d.file)
 	d.cmd.Stdout, d.cmd.Stderr = out, out
 	assert.NilError(c.t, d.cmd.Start())
 	_ = out.Close()
@@ -153,10 +153,10 @@
 	d.run(c)
 }
 
-func (c *fleetCluster) await(d *fleetDaemon, status int) {
+func (c *fleetCluster) awaitReadyStatus(d *fleetDaemon, status int) {
 	c.t.Helper()
 	poll.WaitOn(c.t, func(poll.LogT) poll.Result {
-		resp, err := http.Get("http://" + d.ready + wire.PathReady)
+		resp, err := http.Get("http://" + d.readyAddr + wire.PathReady)
 		if err != nil {
 			return poll.Continue("%v", err)
 		}
@@ -169,9 +169,9 @@
 }
 
 // addresses asks a daemon's directory.
-func (c *fleetCluster) addresses(d *fleetDaemon) []string {
+func (c *fleetCluster) directoryAddresses(d *fleetDaemon) []string {
 	c.t.Helper()
-	resp, err := http.Get("http://" + d.directory + wire.PathDirectory + "?name=h.example&region=r&zone=north")
+	resp, err := http.Get("http://" + d.directoryAddr + wire.PathDirectory + "?name=h.example&region=r&zone=north")
 	assert.NilError(c.t, err)
 	defer resp.Body.Close()
 	var got struct {
@@ -187,7 +187,7 @@
 }
 
 // fleetSerial numbers the requests of callers.
-var fleetSerial atomic.Int64
+var requestSerial atomic.Int64
 
 // send makes one request of a caller on a connection of its own.
 func (d *fleetDaemon) send(path, body, model string, header ...string) (int, string, error) {
@@ -196,9 +196,9 @@
 
 // sendFrom makes one request from one of its caller's addresses.
 func (d *fleetDaemon) sendFrom(from net.IP, path, body, model string, header ...string) (int, string, error) {
-	serial := fleetSerial.Add(1)
+	serial := requestSerial.Add(1)
 	dialer := net.Dialer{LocalAddr: &net.TCPAddr{IP: from}}
-	conn, err := dialer.Dial("tcp", d.caller)
+	conn, err := dialer.Dial("tcp", d.callerAddr)
 	if err != nil {
 		return 0, "", err
 	}
@@ -223,7 +223,7 @@
 	return resp.StatusCode, string(data), err
 }
 
-func wholeStream(n int) string {
+func fullStream(n int) string {
 	var b strings.Builder
 	for i := 1; i <= n; i++ {
 		fmt.Fprintf(&b, "id: %d\ndata: piece %d\n\n", i, i)
@@ -243,10 +243,10 @@
 
 // ctl runs primrosectl against the store and a daemon, and returns what it
 // printed and its exit code.
-func (c *fleetCluster) ctl(d *fleetDaemon, stdin string, args ...string) (string, int) {
+func (c *fleetCluster) primrosectl(d *fleetDaemon, stdin string, args ...string) (string, int) {
 	c.t.Helper()
-	all := append([]string{"--store", c.addr, "--admin", d.admin, "--by", "nino"}, args...)
-	cmd := exec.Command(buildCtl(c.t), all...)
+	all := append([]string{"--store", c.addr, "--admin", d.adminAddr, "--by", "nino"}, args...)
+	cmd := exec.Command(buildPrimrosectl(c.t), all...)
 	cmd.Stdin = strings.NewReader(stdin)
 	out, _ := cmd.CombinedOutput() // the exit code tells
 	return string(out), cmd.ProcessState.ExitCode()
--- a/proof/fleet_test.go
+++ b/proof/fleet_test.go
@@ -25,7 +25,7 @@
 	c := startFleet(t, 2)
 	d := c.daemons[0]
 	poll.WaitOn(t, func(poll.LogT) poll.Result {
-		if got := c.addresses(d); len(got) != 2 || got[0] != d.caller {
+		if got := c.directoryAddresses(d); len(got) != 2 || got[0] != d.callerAddr {
 			return poll.Continue("%v", got)
 		}
 		return poll.Success()
@@ -37,12 +37,12 @@
 	status, body, err = d.send("/gen/x", "", "m2")
 	assert.NilError(t, err)
 	assert.Equal(t, status, http.StatusOK)
-	assert.Equal(t, body, wholeStream(20))
+	assert.Equal(t, body, fullStream(20))
 	status, _, err = d.send("/none/x", "", "")
 	assert.NilError(t, err)
 	assert.Equal(t, status, http.StatusNotFound)
 	poll.WaitOn(t, func(poll.LogT) poll.Result {
-		resp, err := http.Get("http://" + d.admin + "/metrics")
+		resp, err := http.Get("http://" + d.adminAddr + "/metrics")
 		if err != nil {
 			return poll.Error(err)
 		}
@@ -59,14 +59,14 @@
 
 // An adapter and a model that no runner has are fetched because they are asked
 // for, and the request for the adapter is served.
-func TestFleetFetchesWhatIsAskedFor(t *testing.T) {
+func TestFleetLoadsModelsAndAdaptersOnDemand(t *testing.T) {
 	c := startFleet(t, 2)
 	poll.WaitOn(t, func(poll.LogT) poll.Result {
 		status, body, err := c.daemons[1].send("/gen/x", "", "m1/a3")
 		if err != nil || status != http.StatusOK {
 			return poll.Continue("%d %v", status, err)
 		}
-		assert.Equal(t, body, wholeStream(20))
+		assert.Equal(t, body, fullStream(20))
 		return poll.Success()
 	}, poll.WithTimeout(15*time.Second))
 	assert.Assert(t, c.runners[0].Holds("m1", "a3") || c.runners[1].Holds("m1", "a3"))
@@ -74,21 +74,21 @@
 
 // A stream that its runner breaks off goes on at another one, with each event
 // once; an order that a runner may have carried out is not sent again.
-func TestFleetRunnerDies(t *testing.T) {
+func TestFleetRunnerFails(t *testing.T) {
 	c := startFleet(t, 1)
 	d := c.daemons[0]
 	c.runners[0].CutNext(5)
 	c.runners[1].CutNext(9)
 	status, body, err := d.send("/gen/x", "", "m1")
 	assert.Equal(t, status, http.StatusOK)
-	assert.Assert(t, err != nil || body == wholeStream(20))
+	assert.Assert(t, err != nil || body == fullStream(20))
 	c.runners[0].CutNext(0)
 	c.runners[1].CutNext(0)
 	c.runners[0].CutNext(5)
 	status, body, err = d.send("/gen/x", "", "m1")
 	assert.NilError(t, err)
 	assert.Equal(t, status, http.StatusOK)
-	assert.Equal(t, body, wholeStream(20))
+	assert.Equal(t, body, fullStream(20))
 	c.runners[2].Kill()
 	for range 5 {
 		before := c.runsOf("app")
@@ -163,16 +163,16 @@
 	})
 	assert.NilError(t, leaving.cmd.Process.Signal(syscall.SIGTERM))
 	poll.WaitOn(t, func(poll.LogT) poll.Result {
-		if got := c.addresses(staying); len(got) != 1 || got[0] != staying.caller {
+		if got := c.directoryAddresses(staying); len(got) != 1 || got[0] != staying.callerAddr {
 			return poll.Continue("%v", got)
 		}
 		return poll.Success()
 	}, poll.WithTimeout(20*time.Second))
-	c.await(leaving, http.StatusServiceUnavailable)
+	c.awaitReadyStatus(leaving, http.StatusServiceUnavailable)
 	got := <-done
 	assert.NilError(t, got.err)
 	assert.Equal(t, got.status, http.StatusOK)
-	assert.Equal(t, got.body, wholeStream(20))
+	assert.Equal(t, got.body, fullStream(20))
 	state, err := leaving.cmd.Process.Wait()
 	assert.NilError(t, err)
 	assert.Assert(t, state.Success(), "%v", state)
@@ -216,7 +216,7 @@
 // during an outage of the store, not by a daemon that knows no settings yet.
 func TestFleetKeepsToTheSettingsTree(t *testing.T) {
 	c := startFleet(t, 3)
-	out, code := c.ctl(c.daemons[0], `{"set":{"places":["south"]}}`, "tree", "set", "/service/app", "-f", "-", "--wait", "20s")
+	out, code := c.primrosectl(c.daemons[0], `{"set":{"places":["south"]}}`, "tree", "set", "/service/app", "-f", "-", "--wait", "20s")
 	assert.Equal(t, code, 0, out)
 	assert.Assert(t, strings.Contains(out, "in force at 3 members"), out)
 	onlySouth := func() {
@@ -231,21 +231,21 @@
 		}
 	}
 	onlySouth()
-	out, code = c.ctl(c.daemons[1], "", "tree", "explain", "-s", "app", "-p", "north")
+	out, code = c.primrosectl(c.daemons[1], "", "tree", "explain", "-s", "app", "-p", "north")
 	assert.Equal(t, code, 0, out)
 	assert.Assert(t, strings.Contains(out, "allowed false"), out)
-	out, code = c.ctl(c.daemons[1], `{"set":{"places":["west"]}}`, "tree", "set", "/service/unknown", "-f", "-")
+	out, code = c.primrosectl(c.daemons[1], `{"set":{"places":["west"]}}`, "tree", "set", "/service/unknown", "-f", "-")
 	assert.Equal(t, code, 3, out)
-	out, code = c.ctl(c.daemons[1], "", "tree", "history", "/service/app")
+	out, code = c.primrosectl(c.daemons[1], "", "tree", "history", "/service/app")
 	assert.Assert(t, code == 0 && strings.Contains(out, "nino"), out)
-	assert.Equal(t, call(adminClient, http.MethodPut, "http://"+c.daemons[0].admin+"/admin/tree?path=/", map[string]int{}, nil), http.StatusForbidden,
+	assert.Equal(t, callJSON(adminClient, http.MethodPut, "http://"+c.daemons[0].adminAddr+"/admin/tree?path=/", map[string]int{}, nil), http.StatusForbidden,
 		"a daemon without a token takes no edits")
 	c.daemons[0].restart(c)
-	c.await(c.daemons[0], http.StatusOK)
+	c.awaitReadyStatus(c.daemons[0], http.StatusOK)
 	onlySouth()
 	c.store.SetFaults(platform.Faults{Down: true})
 	c.daemons[2].restart(c)
-	c.await(c.daemons[2], http.StatusOK) // by another daemon's copies
+	c.awaitReadyStatus(c.daemons[2], http.StatusOK) // by another daemon's copies
 	onlySouth()
 	c.store.SetFaults(platform.Faults{})
 }
@@ -255,14 +255,14 @@
 // for it may be served.
 func TestFleetLoadsWhereRequestsMayBeServed(t *testing.T) {
 	c := startFleet(t, 2)
-	out, code := c.ctl(c.daemons[0], `{"set":{"places":["north"]}}`, "tree", "set", "/service/gen/model/m2", "-f", "-", "--wait", "20s")
+	out, code := c.primrosectl(c.daemons[0], `{"set":{"places":["north"]}}`, "tree", "set", "/service/gen/model/m2", "-f", "-", "--wait", "20s")
 	assert.Equal(t, code, 0, out)
 	poll.WaitOn(t, func(poll.LogT) poll.Result {
 		status, body, err := c.daemons[0].send("/gen/x", "", "m2")
 		if err != nil || status != http.StatusOK {
 			return poll.Continue("%d %v", status, err)
 		}
-		assert.Equal(t, body, wholeStream(20))
+		assert.Equal(t, body, fullStream(20))
 		return poll.Success()
 	}, poll.WithTimeout(20*time.Second))
 	assert.Assert(t, c.runners[0].Holds("m2", ""))
--- a/proof/inputs_test.go
+++ b/proof/inputs_test.go
@@ -57,9 +57,9 @@
 	r := hold.Record{Route: "r"}
 	now := time.Unix(1e9, 0)
 	r.Hold(now)
-	told, err := hold.Encode(&r, now)
+	encoded, err := hold.Encode(&r, now)
 	assert.NilError(f, err)
-	f.Add([]byte(told))
+	f.Add([]byte(encoded))
 	f.Fuzz(func(_ *testing.T, data []byte) {
 		hub := roster.New(now, roster.Daemon{Name: "a", Place: "p"})
 		hub.Know(now, roster.Daemon{Name: "b", Place: "p"})
--- a/proof/life_test.go
+++ b/proof/life_test.go
@@ -25,49 +25,49 @@
 
 // lifeMachine drives one cluster with requests and faults and remembers what
 // each caller was told.
-type lifeMachine struct {
-	c      *cluster
-	mu     sync.Mutex
-	base   int64 // keeps the keys of sequences apart
-	n      int
-	told   map[string][]reply // by order path
-	sent   map[string]int     // calls made, the ones without a reply too
-	wrong  []string
-	frozen *daemon
-	killed time.Time
-	counts map[string]int
-	wg     sync.WaitGroup
+type faultMachine struct {
+	c         *cluster
+	mu        sync.Mutex
+	keyBase   int64 // keeps the keys of sequences apart
+	n         int
+	answers   map[string][]reply // by order path
+	sent      map[string]int     // calls made, the ones without a reply too
+	errs      []string
+	suspended *daemon
+	lastKill  time.Time
+	counts    map[string]int
+	wg        sync.WaitGroup
 }
 
-func (m *lifeMachine) next() int {
+func (m *faultMachine) next() int {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.n++
 	return m.n
 }
 
-func (m *lifeMachine) fault(format string, args ...any) {
+func (m *faultMachine) recordError(format string, args ...any) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.wrong = append(m.wrong, fmt.Sprintf(format, args...))
+	m.errs = append(m.errs, fmt.Sprintf(format, args...))
 }
 
 // chat asks for a repeatable answer. What comes back as whole must be the
 // right one; an error is allowed, for the caller can ask again.
-func (m *lifeMachine) chat(d *daemon, stream bool) {
+func (m *faultMachine) chat(d *daemon, stream bool) {
 	defer m.wg.Done()
-	prompt := fmt.Sprintf("life %d-%d", m.base, m.next())
+	prompt := fmt.Sprintf("life %d-%d", m.keyBase, m.next())
 	r, err := d.chat("m", prompt, 30, stream)
 	if err != nil || r.status != http.StatusOK {
 		return
 	}
-	if err := right(r, "m", prompt, 30); err != nil {
-		m.fault("%s: %v", prompt, err)
+	if err := checkAnswer(r, "m", prompt, 30); err != nil {
+		m.recordError("%s: %v", prompt, err)
 	}
 }
 
 // order sends an order that may not be repeated.
-func (m *lifeMachine) order(d *daemon, path, key string) {
+func (m *faultMachine) order(d *daemon, path, key string) {
 	defer m.wg.Done()
 	m.mu.Lock()
 	m.sent[path]++
@@ -80,35 +80,35 @@
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if err == nil {
-		m.told[path] = append(m.told[path], r)
+		m.answers[path] = append(m.answers[path], r)
 	}
 }
 
-func (m *lifeMachine) run(fn func()) {
+func (m *faultMachine) spawn(fn func()) {
 	m.wg.Add(1)
 	go fn()
 }
 
-func (m *lifeMachine) actions() map[string]func(*rapid.T) {
+func (m *faultMachine) actions() map[string]func(*rapid.T) {
 	entry := func(t *rapid.T) *daemon {
 		return m.c.daemons[rapid.IntRange(0, len(m.c.daemons)-1).Draw(t, "entry")]
 	}
 	keyed := func(t *rapid.T) {
-		path := fmt.Sprintf("/orders/keyed-%d-%d", m.base, rapid.IntRange(1, 12).Draw(t, "key"))
+		path := fmt.Sprintf("/orders/keyed-%d-%d", m.keyBase, rapid.IntRange(1, 12).Draw(t, "key"))
 		d := entry(t)
-		m.run(func() { m.order(d, path, path[8:]) })
+		m.spawn(func() { m.order(d, path, path[8:]) })
 	}
 	chat := func(t *rapid.T) {
 		d, stream := entry(t), rapid.Bool().Draw(t, "stream")
-		m.run(func() { m.chat(d, stream) })
+		m.spawn(func() { m.chat(d, stream) })
 	}
 	return map[string]func(*rapid.T){
 		"":     func(*rapid.T) { time.Sleep(stepPause) },
 		"chat": chat, "chat too": chat, "keyed order": keyed, "keyed order too": keyed,
 		"order": func(t *rapid.T) {
 			d := entry(t)
-			path := fmt.Sprintf("/orders/once-%d-%d", m.base, m.next())
-			m.run(func() { m.order(d, path, "") })
+			path := fmt.Sprintf("/orders/once-%d-%d", m.keyBase, m.next())
+			m.spawn(func() { m.order(d, path, "") })
 		},
 		"break engine": func(t *rapid.T) {
 			f := engine.Faults{Cuts: 1, CutAfter: 3, NoResume: rapid.Bool().Draw(t, "no resume")}
@@ -129,29 +129,29 @@
 		},
 		"kill": func(t *rapid.T) {
 			d := entry(t)
-			if time.Since(m.killed) < killPause {
+			if time.Since(m.lastKill) < killPause {
 				t.Skip("let the last one come back")
 			}
-			m.killed = time.Now()
-			if d == m.frozen {
-				m.frozen = nil
+			m.lastKill = time.Now()
+			if d == m.suspended {
+				m.suspended = nil
 			}
 			d.kill()
 			d.start()
 		},
 		"freeze": func(t *rapid.T) {
-			if m.frozen != nil {
+			if m.suspended != nil {
 				t.Skip("one is frozen")
 			}
-			m.frozen = entry(t)
-			m.frozen.signal(syscall.SIGSTOP)
+			m.suspended = entry(t)
+			m.suspended.signal(syscall.SIGSTOP)
 		},
 		"thaw": func(t *rapid.T) {
-			if m.frozen == nil {
+			if m.suspended == nil {
 				t.Skip("none is frozen")
 			}
-			m.frozen.signal(syscall.SIGCONT)
-			m.frozen = nil
+			m.suspended.signal(syscall.SIGCONT)
+			m.suspended = nil
 		},
 		"wait": func(t *rapid.T) {
 			time.Sleep(time.Duration(rapid.IntRange(50, 700).Draw(t, "ms")) * time.Millisecond)
@@ -160,10 +160,10 @@
 }
 
 // heal ends all faults and waits for the callers.
-func (m *lifeMachine) heal() {
-	if m.frozen != nil {
-		m.frozen.signal(syscall.SIGCONT)
-		m.frozen = nil
+func (m *faultMachine) clearFaults() {
+	if m.suspended != nil {
+		m.suspended.signal(syscall.SIGCONT)
+		m.suspended = nil
 	}
 	m.c.platform.SetFaults(platform.Faults{})
 	m.c.engines["e1"].SetFaults(engine.Faults{})
@@ -172,14 +172,14 @@
 }
 
 // check compares what callers were told with what the service has run.
-func (m *lifeMachine) check(t *rapid.T) {
+func (m *faultMachine) checkOrders(t *rapid.T) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	for _, w := range m.wrong {
+	for _, w := range m.errs {
 		t.Errorf("wrong answer: %s", w)
 	}
-	for path, replies := range m.told {
-		m.tally(replies)
+	for path, replies := range m.answers {
+		m.countAnswers(replies)
 		runs := m.c.runsOf(path)
 		if runs > 1 {
 			t.Errorf("%s ran %d times", path, runs)
@@ -200,7 +200,7 @@
 }
 
 // tally counts what callers were told.
-func (m *lifeMachine) tally(replies []reply) {
+func (m *faultMachine) countAnswers(replies []reply) {
 	for _, r := range replies {
 		m.counts[fmt.Sprintf("%d %s", r.status, r.code)]++
 	}
@@ -215,16 +215,16 @@
 	outer := t
 	fuzz.Fix(7, 3, 200)
 	_ = flag.Set("rapid.shrinktime", "1s")
-	s := small()
+	s := defaultSpec()
 	s.daemons = 4
-	c := start(t, s)
+	c := startCluster(t, s)
 	rapid.Check(t, func(t *rapid.T) {
-		m := &lifeMachine{c: c, told: map[string][]reply{}, sent: map[string]int{}, counts: map[string]int{}, base: time.Now().UnixNano()}
+		m := &faultMachine{c: c, answers: map[string][]reply{}, sent: map[string]int{}, counts: map[string]int{}, keyBase: time.Now().UnixNano()}
 		t.Repeat(m.actions())
-		m.heal()
-		m.check(t)
+		m.clearFaults()
+		m.checkOrders(t)
 		outer.Logf("orders: %v", m.counts)
-		c.noOverCommit()
+		c.checkNoOverCommit()
 	})
-	assert.NilError(t, c.insist(0, "m", "after all", 5, true))
+	assert.NilError(t, c.chatWithRetries(0, "m", "after all", 5, true))
 }
--- a/proof/limits_test.go
+++ b/proof/limits_test.go
@@ -22,13 +22,13 @@
 // limitSpan is the span over which arrivals at a limited runner are counted, limitSettle
 // the time from its first naming a limit until the count begins.
 const (
-	limitSpan   = 4 * time.Second
-	limitSettle = 3 * time.Second
+	limitWindow     = 4 * time.Second
+	limitSettleTime = 3 * time.Second
 )
 
 // mostWithin is the most of some times that lie within a span, from a time on.
-func mostWithin(times []time.Time, from time.Time, span time.Duration) int {
-	most, first := 0, 0
+func maxInWindow(times []time.Time, from time.Time, span time.Duration) int {
+	peak, first := 0, 0
 	for i, at := range times {
 		if at.Before(from) {
 			first = i + 1
@@ -37,21 +37,21 @@
 		for at.Sub(times[first]) >= span {
 			first++
 		}
-		most = max(most, i-first+1)
+		peak = max(peak, i-first+1)
 	}
-	return most
+	return peak
 }
 
 // press has callers at random daemons send a request every pause, and returns the
 // statuses that they got.
-func (c *fleetCluster) press(pause, total time.Duration) map[int]int {
+func (c *fleetCluster) sendAtInterval(interval, duration time.Duration) map[int]int {
 	c.t.Helper()
 	var mu sync.Mutex
 	var wg sync.WaitGroup
 	got := map[int]int{}
-	tick := time.NewTicker(pause)
+	tick := time.NewTicker(interval)
 	defer tick.Stop()
-	for end := time.Now().Add(total); time.Now().Before(end); <-tick.C {
+	for end := time.Now().Add(duration); time.Now().Before(end); <-tick.C {
 		d := c.daemons[rand.IntN(len(c.daemons))]
 		wg.Go(func() {
 			status, _, err := d.send("/ask/x", "", "")
@@ -84,23 +84,23 @@
 	limited := c.runners[2]
 	limited.SetLimit("2")
 	began := time.Now()
-	got := c.press(10*time.Millisecond, limitSettle+2*limitSpan)
+	got := c.sendAtInterval(10*time.Millisecond, limitSettleTime+2*limitWindow)
 	arrived := limited.Arrived()
-	most := mostWithin(arrived, began.Add(limitSettle), limitSpan)
-	allowed := int(1.5*rate*limitSpan.Seconds() + 5)
-	t.Logf("%d arrivals, at most %d in %v where %d are allowed; answers: %v", len(arrived), most, limitSpan, allowed, got)
-	assert.Assert(t, most <= allowed, "%d arrivals in %v, allowed %d", most, limitSpan, allowed)
+	peak := maxInWindow(arrived, began.Add(limitSettleTime), limitWindow)
+	allowed := int(1.5*rate*limitWindow.Seconds() + 5)
+	t.Logf("%d arrivals, at most %d in %v where %d are allowed; answers: %v", len(arrived), peak, limitWindow, allowed, got)
+	assert.Assert(t, peak <= allowed, "%d arrivals in %v, allowed %d", peak, limitWindow, allowed)
 	assert.Equal(t, len(got), 1, "requests were not served while other runners had room: %v", got)
 	assert.Assert(t, got[http.StatusOK] > 0)
 }
 
 // answer is what a caller gets from a daemon.
-func (d *fleetDaemon) answer(t *testing.T, path string) *http.Response {
+func (d *fleetDaemon) post(t *testing.T, path string) *http.Response {
 	t.Helper()
-	q, err := http.NewRequest(http.MethodPost, "http://"+d.caller+path, nil)
+	q, err := http.NewRequest(http.MethodPost, "http://"+d.callerAddr+path, nil)
 	assert.NilError(t, err)
 	q.Host = "h.example"
-	q.Header.Set(wire.HeaderRequestID, fmt.Sprintf("q%d", fleetSerial.Add(1)))
+	q.Header.Set(wire.HeaderRequestID, fmt.Sprintf("q%d", requestSerial.Add(1)))
 	q.Header.Set(wire.HeaderTimeout, "4000")
 	resp, err := http.DefaultClient.Do(q)
 	assert.NilError(t, err)
@@ -112,7 +112,7 @@
 
 // Where all runners are limited callers get no answer until their deadline, or none that
 // tells when to come back; what the runners would take stays unused.
-func TestLimitedRunnersAreUsedAndTheRestRefusedAtOnce(t *testing.T) {
+func TestLimitedRunnersAreUsedFullyAndExcessIsRefusedAtOnce(t *testing.T) {
 	const rate = 6.0
 	c := startFleet(t, 3)
 	for _, r := range c.runners[2:] {
@@ -122,10 +122,10 @@
 	var mu sync.Mutex
 	var wg sync.WaitGroup
 	served, refused := 0, 0
-	for end := began.Add(limitSettle + 2*limitSpan); time.Now().Before(end); time.Sleep(20 * time.Millisecond) {
+	for end := began.Add(limitSettleTime + 2*limitWindow); time.Now().Before(end); time.Sleep(20 * time.Millisecond) {
 		d := c.daemons[rand.IntN(len(c.daemons))]
 		wg.Go(func() {
-			resp := d.answer(t, "/ask/x")
+			resp := d.post(t, "/ask/x")
 			mu.Lock()
 			defer mu.Unlock()
 			switch resp.StatusCode {
@@ -144,27 +144,27 @@
 	wg.Wait()
 	took := time.Since(began)
 	for _, r := range c.runners[2:] {
-		most := mostWithin(r.Arrived(), began.Add(limitSettle), limitSpan)
-		assert.Assert(t, most <= int(1.5*rate*limitSpan.Seconds()+5), "%s: %d arrivals", r.ID, most)
+		peak := maxInWindow(r.Arrived(), began.Add(limitSettleTime), limitWindow)
+		assert.Assert(t, peak <= int(1.5*rate*limitWindow.Seconds()+5), "%s: %d arrivals", r.ID, peak)
 	}
 	t.Logf("%d served, %d refused in %v", served, refused, took)
 	assert.Assert(t, refused > 0)
-	assert.Assert(t, float64(served) >= 0.8*2*rate*(took-limitSettle).Seconds(), "%d served", served)
+	assert.Assert(t, float64(served) >= 0.8*2*rate*(took-limitSettleTime).Seconds(), "%d served", served)
 }
 
 // A runner that names no limit any more is still left out.
-func TestRunnerIsTrustedOnceItNamesNoLimit(t *testing.T) {
+func TestRunnerIsUsedFullyOnceItNamesNoLimit(t *testing.T) {
 	c := startFleet(t, 3)
 	for _, r := range c.runners[2:] {
 		r.SetLimit("0.5")
 	}
-	c.press(20*time.Millisecond, 4*time.Second)
+	c.sendAtInterval(20*time.Millisecond, 4*time.Second)
 	for _, r := range c.runners[2:] {
 		r.SetLimit()
 	}
 	// What is let through now and then tells that the limit has ended.
 	poll.WaitOn(t, func(poll.LogT) poll.Result {
-		if got := c.press(20*time.Millisecond, time.Second); len(got) > 1 || got[http.StatusOK] == 0 {
+		if got := c.sendAtInterval(20*time.Millisecond, time.Second); len(got) > 1 || got[http.StatusOK] == 0 {
 			return poll.Continue("%v", got)
 		}
 		return poll.Success()
@@ -175,16 +175,16 @@
 // that come.
 func TestOwnerKeepsAnEndpointsLimit(t *testing.T) {
 	const rate = 2.0
-	s := small()
-	s.plain = []string{"p1", "p2"}
-	c := start(t, s)
+	s := defaultSpec()
+	s.plainEndpoints = []string{"p1", "p2"}
+	c := startCluster(t, s)
 	limited := c.services["p1"]
 	limited.SetFaults(service.Faults{Limit: "2"})
 	began := time.Now()
 	var mu sync.Mutex
 	var wg sync.WaitGroup
 	got := map[string]int{}
-	for end := began.Add(limitSettle + limitSpan); time.Now().Before(end); time.Sleep(20 * time.Millisecond) {
+	for end := began.Add(limitSettleTime + limitWindow); time.Now().Before(end); time.Sleep(20 * time.Millisecond) {
 		d := c.daemons[rand.IntN(len(c.daemons))]
 		wg.Go(func() {
 			r, err := d.send(http.MethodPost, "/services/parts/x", "belt")
@@ -197,7 +197,7 @@
 	wg.Wait()
 	runs := len(limited.Runs())
 	t.Logf("%d runs at the limited endpoint, answers %v", runs, got)
-	assert.Assert(t, float64(runs) <= 1.5*rate*(limitSettle+limitSpan).Seconds()+5, "%d runs", runs)
+	assert.Assert(t, float64(runs) <= 1.5*rate*(limitSettleTime+limitWindow).Seconds()+5, "%d runs", runs)
 	assert.Assert(t, runs > 0 && len(got) == 1, "requests were not served while another endpoint had room: %v", got)
 }
 
@@ -206,9 +206,9 @@
 	c := startFleet(t, 2)
 	c.runners[2].SetLimit("6")
 	poll.WaitOn(t, func(poll.LogT) poll.Result {
-		c.press(20*time.Millisecond, 200*time.Millisecond)
+		c.sendAtInterval(20*time.Millisecond, 200*time.Millisecond)
 		for _, d := range c.daemons {
-			out, code := c.ctl(d, "", "limits")
+			out, code := c.primrosectl(d, "", "limits")
 			if code != 0 || !strings.Contains(out, "i-app-1") {
 				return poll.Continue("%s: %d %s", d.name, code, out)
 			}
--- a/proof/mortal_test.go
+++ b/proof/mortal_test.go
@@ -20,87 +20,87 @@
 
 // mortal is an endpoint whose process ends under a fatal request, with all of its
 // connections, and is back at its address a moment later.
-type mortal struct {
+type crashingEndpoint struct {
 	http.Handler
 	addr string
 
-	mu   sync.Mutex
-	srv  *http.Server
-	runs int // of fatal requests
-	over bool
+	mu        sync.Mutex
+	srv       *http.Server
+	fatalRuns int // of fatal requests
+	testEnded bool
 }
 
 // mortalBack is how long an endpoint stays away.
-const mortalBack = 300 * time.Millisecond
+const endpointRestartDelay = 300 * time.Millisecond
 
-func newMortal(t *testing.T, h http.Handler) *mortal {
+func newCrashingEndpoint(t *testing.T, h http.Handler) *crashingEndpoint {
 	t.Helper()
-	m := &mortal{Handler: h, addr: freePort(t)}
+	m := &crashingEndpoint{Handler: h, addr: freePort(t)}
 	m.start()
 	t.Cleanup(func() {
 		m.mu.Lock()
 		defer m.mu.Unlock()
-		m.over = true
+		m.testEnded = true
 		_ = m.srv.Close()
 	})
 	return m
 }
 
-func (m *mortal) start() {
+func (m *crashingEndpoint) start() {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	ln, err := net.Listen("tcp", m.addr)
-	if m.over || err != nil {
+	if m.testEnded || err != nil {
 		return // the test has ended, or its daemons find the endpoint away
 	}
 	m.srv = &http.Server{Handler: http.HandlerFunc(m.serve), ReadHeaderTimeout: time.Second}
 	go m.run(m.srv, ln)
 }
 
-func (m *mortal) run(srv *http.Server, ln net.Listener) {
+func (m *crashingEndpoint) run(srv *http.Server, ln net.Listener) {
 	_ = srv.Serve(ln) // until it is closed
 }
 
-func (m *mortal) serve(w http.ResponseWriter, r *http.Request) {
+func (m *crashingEndpoint) serve(w http.ResponseWriter, r *http.Request) {
 	body, err := io.ReadAll(r.Body)
 	if err != nil {
 		return
 	}
-	if !strings.Contains(string(body), fatal) {
+	if !strings.Contains(string(body), fatalBody) {
 		r.Body = io.NopCloser(bytes.NewReader(body))
 		m.Handler.ServeHTTP(w, r)
 		return
 	}
 	m.mu.Lock()
-	m.runs++
+	m.fatalRuns++
 	_ = m.srv.Close()
 	m.mu.Unlock()
-	time.AfterFunc(mortalBack, m.start)
+	time.AfterFunc(endpointRestartDelay, m.start)
 	panic(http.ErrAbortHandler)
 }
 
 // mortals are all endpoints of a cluster.
-type mortals struct{ list []*mortal }
+type crashingEndpoints struct{ list []*crashingEndpoint }
 
 // startMortals starts a cluster whose endpoints are mortal.
-func startMortals(t *testing.T) (*cluster, *mortals) {
+func startCrashingCluster(t *testing.T) (*cluster, *crashingEndpoints) {
 	t.Helper()
-	all := &mortals{}
-	s := small()
+	endpoints := &crashingEndpoints{}
+	s := defaultSpec()
 	s.serve = func(h http.Handler) string {
-		m := newMortal(t, h)
-		all.list = append(all.list, m)
+		m := newCrashingEndpoint(t, h)
+		endpoints.list = append(endpoints.list, m)
 		return m.addr
 	}
-	return start(t, s), all
+	return startCluster(t, s), endpoints
 }
 
 // runs counts those of fatal requests.
-func (all *mortals) runs() int {
+func (endpoints *crashingEndpoints) fatalRuns() int {
 	n := 0
-	for _, m := range all.list {
+	for _, m := range endpoints.list {
 		m.mu.Lock()
-		n += m.runs
+		n += m.fatalRuns
 		m.mu.Unlock()
 	}
 	return n
@@ -109,23 +109,23 @@
 // A request of the product's own interface ends each endpoint that begins to run it, at
 // whichever daemon and under whichever id it comes.
 func TestOwnInterfaceStopsRequestsThatEndEndpoints(t *testing.T) {
-	c, all := startMortals(t)
-	runs := all.runs
-	send := func(long time.Duration) {
-		for end, i := time.Now().Add(long), 0; time.Now().Before(end); i++ {
-			_, _ = c.daemons[i%len(c.daemons)].chat("m", fatal, 5, true) // whatever it is told
-			time.Sleep(returnGap)
+	c, endpoints := startCrashingCluster(t)
+	fatalRuns := endpoints.fatalRuns
+	send := func(duration time.Duration) {
+		for end, i := time.Now().Add(duration), 0; time.Now().Before(end); i++ {
+			_, _ = c.daemons[i%len(c.daemons)].chat("m", fatalBody, 5, true) // whatever it is told
+			time.Sleep(callerRetryInterval)
 		}
 	}
-	for runs() < crashesBorne {
-		send(returnGap)
+	for fatalRuns() < maxCrashes {
+		send(callerRetryInterval)
 	}
 	send(settleTime)
-	before := runs()
+	before := fatalRuns()
 	send(3 * time.Second)
-	after := runs()
+	after := fatalRuns()
 	t.Logf("%d more runs, %d in all", after-before, after)
-	assert.Assert(t, after-before <= retriesBorne, "%d more runs, %d in all", after-before, after)
+	assert.Assert(t, after-before <= maxLateRuns, "%d more runs, %d in all", after-before, after)
 	for _, d := range c.daemons {
 		var list []holds.Status
 		assert.Equal(t, d.adminCall(http.MethodGet, "/admin/holds", nil, &list), http.StatusOK)
@@ -142,19 +142,19 @@
 // told that the order has not run. What is known of a key goes first, at each daemon; an
 // order with a new key is refused at once, and its key may be used again.
 func TestOwnInterfaceTellsTheTruthOfKeysHeldBack(t *testing.T) {
-	c, all := startMortals(t)
+	c, endpoints := startCrashingCluster(t)
 	order := func(d *daemon, key string) reply {
-		r, err := d.send(http.MethodPost, "/services/parts/orders/1", fatal, "Idempotency-Key", key)
+		r, err := d.send(http.MethodPost, "/services/parts/orders/1", fatalBody, "Idempotency-Key", key)
 		assert.NilError(t, err)
 		return r
 	}
 	first := order(c.daemons[0], "first")
 	assert.Equal(t, first.outcome, "may_have_run", first.body)
-	for i := 0; all.runs() < crashesBorne; i++ {
+	for i := 0; endpoints.fatalRuns() < maxCrashes; i++ {
 		order(c.daemons[i%len(c.daemons)], fmt.Sprint("next-", i))
-		time.Sleep(returnGap)
+		time.Sleep(callerRetryInterval)
 	}
-	c.until("held back everywhere", settleTime*2, func() bool {
+	c.waitFor("held back everywhere", settleTime*2, func() bool {
 		for _, d := range c.daemons {
 			var list []holds.Status
 			if d.adminCall(http.MethodGet, "/admin/holds", nil, &list) != http.StatusOK || len(list) != 1 {
@@ -167,35 +167,35 @@
 		got := order(d, "first")
 		assert.Equal(t, got.outcome, "may_have_run", "%s: %d %s", d.name, got.status, got.body)
 	}
-	before := all.runs()
+	before := endpoints.fatalRuns()
 	for _, d := range c.daemons {
 		got := order(d, "last")
 		assert.Equal(t, got.outcome, "not_run", "%s: %d %s", d.name, got.status, got.body)
 		assert.Equal(t, got.code, core.CodeHeld)
-		assert.Assert(t, got.retry != "")
+		assert.Assert(t, got.retryAfter != "")
 	}
-	assert.Equal(t, all.runs(), before)
+	assert.Equal(t, endpoints.fatalRuns(), before)
 }
 
 const (
 	// loadsBorne bounds the loads of a model that end endpoints: three until that is known,
 	// those under way then, and one after the first term.
-	loadsBorne = 3 + 2 + 1
-	loadsTime  = 20 * time.Second
+	maxLoads      = 3 + 2 + 1
+	loadWatchTime = 20 * time.Second
 )
 
 // Endpoints end again and again, each with the models that it has: the weights of one model
 // are broken, and whoever is ordered to load it ends. It is ordered again as soon as an
 // endpoint is back, by the record that lets an order be sent again.
 func TestOwnInterfaceStopsLoadsThatEndEndpoints(t *testing.T) {
-	c, all := startMortals(t)
-	c.root.Children["service/chat"].Children["model/"+fatal] = &tree.Node{Model: &tree.Model{Version: "1", Memory: 14 * gb}}
-	c.apply()
-	time.Sleep(loadsTime)
-	n := all.runs()
+	c, endpoints := startCrashingCluster(t)
+	c.root.Children["service/chat"].Children["model/"+fatalBody] = &tree.Node{Model: &tree.Model{Version: "1", Memory: 14 * gb}}
+	c.applyTree()
+	time.Sleep(loadWatchTime)
+	n := endpoints.fatalRuns()
 	t.Logf("%d loads", n)
-	assert.Assert(t, n >= crashesBorne && n <= loadsBorne, "%d loads", n)
-	c.until("the other models are back", settleTime*5, func() bool { return c.served("m", 1) && c.served("r", 1) })
+	assert.Assert(t, n >= maxCrashes && n <= maxLoads, "%d loads", n)
+	c.waitFor("the other models are back", settleTime*5, func() bool { return c.hasReplicas("m", 1) && c.hasReplicas("r", 1) })
 	got, err := c.daemons[0].chat("m", "harmless", 5, true)
 	assert.NilError(t, err)
 	assert.Equal(t, got.status, http.StatusOK, got.body)
--- a/proof/moves_test.go
+++ b/proof/moves_test.go
@@ -17,7 +17,7 @@
 
 // setVersion asks for another version of model m.
 func (c *cluster) setVersion(d *daemon, version string) bool {
-	got := d.read("/service/chat/model/m")
+	got := d.readNode("/service/chat/model/m")
 	if got.Node == nil {
 		return false
 	}
@@ -33,9 +33,9 @@
 // beside each other; their own peak of memory must stay within what they have,
 // and callers must be answered throughout.
 func TestVersionsChangeWhileOwnersFail(t *testing.T) {
-	s := small()
+	s := defaultSpec()
 	s.daemons = 4
-	c := start(t, s)
+	c := startCluster(t, s)
 	var stop atomic.Bool
 	var wg sync.WaitGroup
 	errs := make([]error, 3)
@@ -45,7 +45,7 @@
 		go func() {
 			defer wg.Done()
 			for n := 0; !stop.Load() && errs[i] == nil; n++ {
-				errs[i] = c.insist(i+n, "m", fmt.Sprintf("v %d %d", i, n), 10, n%2 == 0)
+				errs[i] = c.chatWithRetries(i+n, "m", fmt.Sprintf("v %d %d", i, n), 10, n%2 == 0)
 				answered.Add(1)
 			}
 		}()
@@ -55,24 +55,24 @@
 		for _, e := range c.engines {
 			e.SetFaults(engine.Faults{LoseOrders: 1, LateOrders: 1})
 		}
-		c.until("the edit is accepted", 20*time.Second, func() bool { return c.setVersion(c.daemons[round%4], version) })
+		c.waitFor("the edit is accepted", 20*time.Second, func() bool { return c.setVersion(c.daemons[round%4], version) })
 		time.Sleep(500 * time.Millisecond)
-		if frozen := c.owner("e1"); frozen != nil {
-			frozen.signal(syscall.SIGSTOP)
+		if suspended := c.ownerOf("e1"); suspended != nil {
+			suspended.signal(syscall.SIGSTOP)
 			time.Sleep(4 * time.Second)
-			frozen.signal(syscall.SIGCONT)
+			suspended.signal(syscall.SIGCONT)
 		}
-		if dead := c.owner("e3"); dead != nil {
-			dead.kill()
-			dead.start()
+		if killed := c.ownerOf("e3"); killed != nil {
+			killed.kill()
+			killed.start()
 		}
-		c.until("the new version is ready", 60*time.Second, func() bool { return c.hasVersion("m", version) })
+		c.waitFor("the new version is ready", 60*time.Second, func() bool { return c.hasVersion("m", version) })
 	}
 	stop.Store(true)
 	wg.Wait()
 	checkErrors(t, errs)
 	assert.Check(t, answered.Load() > 30, "%d answered", answered.Load())
-	c.noOverCommit()
+	c.checkNoOverCommit()
 }
 
 // hasVersion says whether some engine itself holds a version ready.
@@ -91,37 +91,37 @@
 // memory, then a whole place does. The model must be ready elsewhere again,
 // and be loaded again where the engine comes back empty.
 func TestEnginesLoseTheirMemory(t *testing.T) {
-	c := start(t, small())
+	c := startCluster(t, defaultSpec())
 	for _, name := range []string{"e2", "e3"} {
 		c.engines[name].Restart()
 	}
 	errs := make([]error, 8)
-	each(len(errs), func(i int) { errs[i] = c.insist(i, "m", fmt.Sprint("lost ", i), 5, true) })
+	runConcurrently(len(errs), func(i int) { errs[i] = c.chatWithRetries(i, "m", fmt.Sprint("lost ", i), 5, true) })
 	checkErrors(t, errs)
-	c.until("the review model is ready again", 30*time.Second, func() bool {
+	c.waitFor("the review model is ready again", 30*time.Second, func() bool {
 		r, err := c.daemons[0].chat("r", "again", 2, false)
 		return err == nil && r.status == http.StatusOK
 	})
-	c.noOverCommit()
+	c.checkNoOverCommit()
 }
 
 // Regulated data is served by settings that may be out of date: a daemon is cut
 // off from the platform and goes on for hours. Where a node sets fresh, it
 // refuses after that time, and other nodes go on.
 func TestFreshLimit(t *testing.T) {
-	c := start(t, small())
-	got := c.daemons[0].read("/service/review")
+	c := startCluster(t, defaultSpec())
+	got := c.daemons[0].readNode("/service/review")
 	node := got.Node
 	node.Set.Fresh = 6e9
 	status, _ := c.daemons[0].edit("/service/review", got.Version, node)
 	assert.Equal(t, status, http.StatusOK)
 	r, err := c.daemons[1].chat("r", "fresh", 2, false)
 	assert.NilError(t, err)
-	assert.NilError(t, right(r, "r", "fresh", 2))
+	assert.NilError(t, checkAnswer(r, "r", "fresh", 2))
 	c.platform.SetFaults(platform.Faults{Down: true})
-	c.until("the review service refuses", 30*time.Second, func() bool {
+	c.waitFor("the review service refuses", 30*time.Second, func() bool {
 		r, err := c.daemons[1].chat("r", "stale", 2, false)
 		return err == nil && r.code == "settings_not_fresh" && r.outcome == "not_run"
 	})
-	assert.NilError(t, c.insist(0, "m", "no limit here", 2, false))
+	assert.NilError(t, c.chatWithRetries(0, "m", "no limit here", 2, false))
 }
--- a/proof/requests_test.go
+++ b/proof/requests_test.go
@@ -17,18 +17,18 @@
 	"primroseward/state/tree"
 )
 
-func TestWholePath(t *testing.T) {
-	c := start(t, small())
+func TestAnswersAndRefusalsAtEveryDaemon(t *testing.T) {
+	c := startCluster(t, defaultSpec())
 	for i, d := range c.daemons {
 		for _, stream := range []bool{true, false} {
 			r, err := d.chat("m", fmt.Sprint("hello ", i), 10, stream)
 			assert.NilError(t, err)
-			assert.NilError(t, right(r, "m", fmt.Sprint("hello ", i), 10))
+			assert.NilError(t, checkAnswer(r, "m", fmt.Sprint("hello ", i), 10))
 		}
 		r, err := d.chat("r", "review", 3, false)
 		assert.NilError(t, err)
-		assert.NilError(t, right(r, "r", "review", 3))
-		assert.Equal(t, r.place, "south")
+		assert.NilError(t, checkAnswer(r, "r", "review", 3))
+		assert.Equal(t, r.dataCentre, "south")
 	}
 	cases := []struct {
 		name, method, path, body string
@@ -43,12 +43,12 @@
 		{"method", "GET", "/v1/chat/completions", "", 405, "method_not_allowed"},
 		{"edit as a caller", "PUT", "/admin/tree?path=/", "{}", 404, "unknown_path"},
 	}
-	for _, one := range cases {
-		r, err := c.daemons[0].send(one.method, one.path, one.body)
-		assert.NilError(t, err, one.name)
-		assert.Equal(t, r.status, one.status, one.name)
-		assert.Equal(t, r.code, one.code, one.name)
-		assert.Equal(t, r.outcome, "not_run", one.name)
+	for _, tc := range cases {
+		r, err := c.daemons[0].send(tc.method, tc.path, tc.body)
+		assert.NilError(t, err, tc.name)
+		assert.Equal(t, r.status, tc.status, tc.name)
+		assert.Equal(t, r.code, tc.code, tc.name)
+		assert.Equal(t, r.outcome, "not_run", tc.name)
 	}
 }
 
@@ -57,7 +57,7 @@
 // silent, ends an answer early or answers with another request's id. The cause
 // is in the engine or on the way to it; callers get their whole answer.
 func TestEngineMisbehaves(t *testing.T) {
-	c := start(t, small())
+	c := startCluster(t, defaultSpec())
 	cases := []struct {
 		name   string
 		faults engine.Faults
@@ -70,20 +70,20 @@
 		{"truncated", engine.Faults{Truncate: 1, NoResume: true}, true},
 		{"truncated, not streamed", engine.Faults{Truncate: 1, NoResume: true}, false},
 	}
-	for _, one := range cases {
+	for _, tc := range cases {
 		for _, e := range c.engines {
-			e.SetFaults(one.faults)
+			e.SetFaults(tc.faults)
 		}
 		errs := make([]error, 6)
-		each(len(errs), func(i int) {
-			prompt := fmt.Sprint(one.name, i)
-			r, err := c.daemons[i%len(c.daemons)].chat("m", prompt, 12, one.stream)
+		runConcurrently(len(errs), func(i int) {
+			prompt := fmt.Sprint(tc.name, i)
+			r, err := c.daemons[i%len(c.daemons)].chat("m", prompt, 12, tc.stream)
 			if err == nil {
-				err = right(r, "m", prompt, 12)
+				err = checkAnswer(r, "m", prompt, 12)
 			}
 			errs[i] = err
 		})
-		t.Log(one.name)
+		t.Log(tc.name)
 		checkErrors(t, errs)
 		for _, e := range c.engines {
 			e.SetFaults(engine.Faults{})
@@ -95,18 +95,18 @@
 // swallows bytes without a reset after some tokens; nothing reports it but the
 // silence. The stream goes on over a new connection.
 func TestSilentEngineConnection(t *testing.T) {
-	s := small()
-	c := start(t, s)
-	set := c.root.Children["service/chat"]
-	set.Set.Stall = 1e9
-	c.apply()
+	s := defaultSpec()
+	c := startCluster(t, s)
+	node := c.root.Children["service/chat"]
+	node.Set.Stall = 1e9
+	c.applyTree()
 	c.awaitReady()
 	for _, e := range c.engines {
 		e.SetFaults(engine.Faults{Cuts: 1, SilentAt: 5})
 	}
 	r, err := c.daemons[0].chat("m", "silence", 20, true)
 	assert.NilError(t, err)
-	assert.NilError(t, right(r, "m", "silence", 20))
+	assert.NilError(t, checkAnswer(r, "m", "silence", 20))
 }
 
 // A farmer would pay for two belts. The plain service runs the order and its
@@ -114,7 +114,7 @@
 // would send it again by itself. The service's own log must show one run, and
 // the caller must not be told that nothing ran.
 func TestOrderRunsAtMostOnce(t *testing.T) {
-	c := start(t, small())
+	c := startCluster(t, defaultSpec())
 	for i, f := range []plain.Faults{{Cut: 1}, {Cut: 1}, {Cut: 1}} {
 		// Reused connections first: lookups leave them idle.
 		for range 4 {
@@ -158,11 +158,11 @@
 // sends the same key to all entries at once and again later. One run, and the
 // same answer for all.
 func TestKeyedOrderAtAllEntriesAtOnce(t *testing.T) {
-	c := start(t, small())
+	c := startCluster(t, defaultSpec())
 	for round := range 5 {
 		path := fmt.Sprint("/orders/at-once-", round)
 		got := make([]reply, 9)
-		each(len(got), func(i int) {
+		runConcurrently(len(got), func(i int) {
 			got[i], _ = c.daemons[i%3].send("POST", "/services/parts"+path, "belt", "Idempotency-Key", path[8:])
 		})
 		for _, r := range got {
@@ -180,11 +180,11 @@
 // is killed while the service works on it; the caller resends the same key at
 // the other entries. The claim stands, so nobody sends it again.
 func TestEntryKilledDuringOrder(t *testing.T) {
-	c := start(t, small())
+	c := startCluster(t, defaultSpec())
 	c.services["p1"].SetFaults(plain.Faults{Delay: time.Second})
 	first := c.daemons[0]
 	go func() { _, _ = first.send("POST", "/services/parts/orders/k", "belt", "Idempotency-Key", "k") }()
-	c.until("the order runs", 10*time.Second, func() bool { return c.runsOf("/orders/k") == 1 })
+	c.waitFor("the order runs", 10*time.Second, func() bool { return c.runsOf("/orders/k") == 1 })
 	first.kill()
 	for _, d := range c.daemons[1:] {
 		r, err := d.send("POST", "/services/parts/orders/k", "belt", "Idempotency-Key", "k")
@@ -199,47 +199,47 @@
 // daemons one is killed, one is frozen for a while and one is stopped
 // gracefully. Every repeatable request gets its whole answer.
 func TestKillFreezeAndStopUnderLoad(t *testing.T) {
-	s := small()
+	s := defaultSpec()
 	s.daemons = 8
-	c := start(t, s)
+	c := startCluster(t, s)
 	errs := make([]error, 160)
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
-		each(16, func(worker int) {
+		runConcurrently(16, func(worker int) {
 			for i := worker; i < len(errs); i += 16 {
-				errs[i] = c.insist(i, "m", fmt.Sprint("load ", i), 150, i%2 == 0)
+				errs[i] = c.chatWithRetries(i, "m", fmt.Sprint("load ", i), 150, i%2 == 0)
 			}
 		})
 	}()
 	time.Sleep(300 * time.Millisecond)
-	c.owner("e1").signal(syscall.SIGKILL)
+	c.ownerOf("e1").signal(syscall.SIGKILL)
 	time.Sleep(time.Second)
-	frozen := c.daemons[3]
-	frozen.signal(syscall.SIGSTOP)
+	suspended := c.daemons[3]
+	suspended.signal(syscall.SIGSTOP)
 	c.daemons[5].signal(syscall.SIGTERM)
 	time.Sleep(4 * time.Second)
-	frozen.signal(syscall.SIGCONT)
+	suspended.signal(syscall.SIGCONT)
 	<-done
 	checkErrors(t, errs)
-	c.until("the stopped daemon has ended", 60*time.Second, c.daemons[5].stopped)
-	c.noOverCommit()
+	c.waitFor("the stopped daemon has ended", 60*time.Second, c.daemons[5].exited)
+	c.checkNoOverCommit()
 }
 
 // Callers would see long streams cut by a planned stop. All daemons but one are
 // stopped while long streams go through every daemon; callers do not retry.
 // None is cut.
 func TestGracefulStopCutsNothing(t *testing.T) {
-	c := start(t, small())
+	c := startCluster(t, defaultSpec())
 	errs := make([]error, 18)
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
-		each(len(errs), func(i int) {
+		runConcurrently(len(errs), func(i int) {
 			prompt := fmt.Sprint("long ", i)
 			r, err := c.daemons[i%3].chat("m", prompt, 3000, true)
 			if err == nil {
-				err = right(r, "m", prompt, 3000)
+				err = checkAnswer(r, "m", prompt, 3000)
 			}
 			errs[i] = err
 		})
@@ -250,67 +250,67 @@
 	c.daemons[1].signal(syscall.SIGTERM)
 	<-done
 	checkErrors(t, errs)
-	c.until("both have ended", 60*time.Second, func() bool { return c.daemons[0].stopped() && c.daemons[1].stopped() })
+	c.waitFor("both have ended", 60*time.Second, func() bool { return c.daemons[0].exited() && c.daemons[1].exited() })
 	r, err := c.daemons[2].chat("m", "after", 5, true)
 	assert.NilError(t, err)
-	assert.NilError(t, right(r, "m", "after", 5))
+	assert.NilError(t, checkAnswer(r, "m", "after", 5))
 }
 
 // A caller waits in a queue that cannot serve it in time, and is told so only
 // at its deadline. When the queue is longer than the class's target allows, the
 // refusal comes at once, is true, and says when to come back.
 func TestOverloadIsRefusedAtOnce(t *testing.T) {
-	s := small()
+	s := defaultSpec()
 	for i := range s.engines {
 		s.engines[i].cfg.Slots = 1
 		s.engines[i].cfg.Token = 20 * time.Millisecond
 	}
-	c := start(t, s)
+	c := startCluster(t, s)
 	node := c.root.Children["service/chat"]
 	node.Set.Targets = map[string]core.Duration{"normal": core.Duration(time.Second)}
-	c.apply()
+	c.applyTree()
 	c.awaitReady()
 	took := make([]time.Duration, 40)
 	got := make([]reply, len(took))
-	each(len(got), func(i int) {
+	runConcurrently(len(got), func(i int) {
 		began := time.Now()
 		got[i], _ = c.daemons[i%3].chat("m", fmt.Sprint("over ", i), 50, false)
 		took[i] = time.Since(began)
 	})
 	var served, refused int
-	var slowest, latest time.Duration
+	var slowestAnswer, slowestRefusal time.Duration
 	for i, r := range got {
 		if r.status == http.StatusOK {
 			served++
-			slowest = max(slowest, took[i])
-			assert.NilError(t, right(r, "m", fmt.Sprint("over ", i), 50))
+			slowestAnswer = max(slowestAnswer, took[i])
+			assert.NilError(t, checkAnswer(r, "m", fmt.Sprint("over ", i), 50))
 			continue
 		}
 		refused++
-		latest = max(latest, took[i])
+		slowestRefusal = max(slowestRefusal, took[i])
 		assert.Equal(t, r.code, "overloaded", r.body)
 		assert.Equal(t, r.outcome, "not_run")
-		assert.Check(t, r.retry != "")
+		assert.Check(t, r.retryAfter != "")
 	}
 	assert.Check(t, served > 0 && refused > 0, "%d served, %d refused", served, refused)
-	assert.Check(t, latest < slowest, "the last refusal after %s, the last answer after %s", latest, slowest)
+	assert.Check(t, slowestRefusal < slowestAnswer, "the last refusal after %s, the last answer after %s", slowestRefusal, slowestAnswer)
 }
 
 // An operator cannot tell why a model is not served. A model that fits on no
 // runner is named, with the reason, whichever daemon is asked; the others are
 // served.
-func TestUnplaceableModelIsNamed(t *testing.T) {
-	c := start(t, small())
+func TestUnplaceableModelIsReported(t *testing.T) {
+	c := startCluster(t, defaultSpec())
 	c.root.Children["model/huge"] = &tree.Node{Model: &tree.Model{Version: "1", Memory: 70 * gb}}
-	c.apply()
+	c.applyTree()
 	for _, d := range c.daemons {
-		c.until("the model is named", 20*time.Second, func() bool {
+		c.waitFor("the model is named", 20*time.Second, func() bool {
 			var st service.Status
 			d.adminCall(http.MethodGet, "/admin/status", nil, &st)
 			return len(st.Problems) == 1 && strings.Contains(st.Problems[0], "huge")
 		})
 	}
-	assert.NilError(t, c.insist(0, "m", "others", 3, false))
+	assert.NilError(t, c.chatWithRetries(0, "m", "others", 3, false))
 	r, err := c.daemons[0].chat("huge", "x", 3, false)
 	assert.NilError(t, err)
 	assert.Equal(t, r.outcome, "not_run")
--- a/proof/session_test.go
+++ b/proof/session_test.go
@@ -40,7 +40,7 @@
 	{regexp.MustCompile(`"member":"vm-\d"`), `"member":"VM"`},
 }
 
-func steady(s string) string {
+func normalize(s string) string {
 	for _, v := range volatile {
 		s = v.pattern.ReplaceAllString(s, v.with)
 	}
@@ -49,7 +49,7 @@
 
 // exchange writes one call and its answer into a session's text.
 func (d *daemon) exchange(out *strings.Builder, method, path, body string, header ...string) {
-	req, _ := http.NewRequest(method, "http://"+d.caller+path, strings.NewReader(body))
+	req, _ := http.NewRequest(method, "http://"+d.callerAddr+path, strings.NewReader(body))
 	fmt.Fprintf(out, "> %s %s\n", method, path)
 	for i := 0; i+1 < len(header); i += 2 {
 		req.Header.Set(header[i], header[i+1])
@@ -58,7 +58,7 @@
 	if body != "" {
 		fmt.Fprintf(out, "> %s\n", body)
 	}
-	resp, err := callers.Do(req)
+	resp, err := callerClient.Do(req)
 	if err != nil {
 		fmt.Fprintf(out, "! %v\n", err)
 		return
@@ -76,7 +76,7 @@
 
 // A whole session of a caller, as it crosses the wire.
 func TestCallerSession(t *testing.T) {
-	c := start(t, small())
+	c := startCluster(t, defaultSpec())
 	d, other := c.daemons[0], c.daemons[1]
 	var out strings.Builder
 	d.exchange(&out, "GET", "/v1/models", "")
@@ -97,13 +97,13 @@
 	other.exchange(&out, "GET", "/services/parts/belts/7?size=2", "")
 	d.exchange(&out, "GET", "/services/nothing/x", "")
 	d.exchange(&out, "GET", "/v1/requests/never", "")
-	golden.Assert(t, steady(out.String()), "caller.golden")
+	golden.Assert(t, normalize(out.String()), "caller.golden")
 }
 
 // buildCtl builds the operators' client beside the daemon.
-func buildCtl(t *testing.T) string {
+func buildPrimrosectl(t *testing.T) string {
 	t.Helper()
-	ctl := filepath.Join(filepath.Dir(binary), "primrosectl")
+	ctl := filepath.Join(filepath.Dir(daemonBinary), "primrosectl")
 	out, err := exec.Command("go", "build", "-o", ctl, "primroseward/cmd/primrosectl").CombinedOutput()
 	assert.NilError(t, err, string(out))
 	return ctl
@@ -111,11 +111,11 @@
 
 // A whole session of an operator with primrosectl, exit codes included.
 func TestOperatorSession(t *testing.T) {
-	c := start(t, small())
-	ctl := buildCtl(t)
+	c := startCluster(t, defaultSpec())
+	ctl := buildPrimrosectl(t)
 	var out strings.Builder
 	run := func(stdin string, args ...string) {
-		cmd := exec.Command(ctl, append([]string{"--admin", c.daemons[0].admin, "--by", "nino"}, args...)...)
+		cmd := exec.Command(ctl, append([]string{"--admin", c.daemons[0].adminAddr, "--by", "nino"}, args...)...)
 		cmd.Stdin = strings.NewReader(stdin)
 		text, _ := cmd.CombinedOutput()
 		fmt.Fprintf(&out, "$ primrosectl %s\n%s[exit %d]\n\n", strings.Join(args, " "), text, cmd.ProcessState.ExitCode())
@@ -138,7 +138,7 @@
 	run("", "tree", "get", "/service/none")
 	run("", "tree", "get", "/planet/x")
 	run("{}", "tree", "set", "/service/chat")
-	golden.Assert(t, steady(out.String()), "operator.golden")
+	golden.Assert(t, normalize(out.String()), "operator.golden")
 }
 
 // A caller loses its connection for good in the middle of an answer, without
@@ -146,11 +146,11 @@
 // back at another entry with its request id and the bytes that it has, and the
 // two parts make the whole answer; the engine has run the request once.
 func TestCallerComesBackAtAnotherEntry(t *testing.T) {
-	c := start(t, small())
-	tap := newTap(t, c.daemons[0].caller)
+	c := startCluster(t, defaultSpec())
+	proxy := newTCPProxy(t, c.daemons[0].callerAddr)
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	req, err := http.NewRequestWithContext(ctx, "POST", "http://"+tap.addr().String()+"/v1/chat/completions", strings.NewReader(chatBody("m", "come back", 400, true)))
+	req, err := http.NewRequestWithContext(ctx, "POST", "http://"+proxy.addr().String()+"/v1/chat/completions", strings.NewReader(chatBody("m", "come back", 400, true)))
 	assert.NilError(t, err)
 	req.Header.Set("Primrose-Request-Id", "back-1")
 	resp, err := http.DefaultClient.Do(req)
@@ -163,12 +163,12 @@
 		assert.NilError(t, err)
 		got = append(got, line...)
 	}
-	tap.silence()
+	proxy.stall()
 	r, err := c.daemons[1].send("GET", fmt.Sprintf("/v1/requests/back-1?offset=%d", len(got)), "")
 	assert.NilError(t, err)
 	assert.Equal(t, r.status, http.StatusOK, r.body)
 	whole := reply{status: http.StatusOK, body: string(got) + r.body}
-	assert.NilError(t, right(whole, "m", "come back", 400))
+	assert.NilError(t, checkAnswer(whole, "m", "come back", 400))
 	runs := 0
 	for _, e := range c.engines {
 		for _, run := range e.Runs() {
@@ -183,20 +183,20 @@
 // An answer is lost with a planned stop: the entry that holds it leaves before
 // its caller comes back. The answer is handed to a daemon that stays.
 func TestHeldAnswersAreHandedOver(t *testing.T) {
-	c := start(t, small())
+	c := startCluster(t, defaultSpec())
 	first := c.daemons[0]
-	kept := map[string]string{}
+	bodies := map[string]string{}
 	for i := range 12 { // which daemons an id hashes to differs from id to id
 		id := fmt.Sprint("kept-", i)
 		r, err := first.chat("r", id, 5, false, "Primrose-Request-Id", id)
 		assert.NilError(t, err)
-		assert.NilError(t, right(r, "r", id, 5))
-		kept[id] = r.body
+		assert.NilError(t, checkAnswer(r, "r", id, 5))
+		bodies[id] = r.body
 	}
 	first.signal(syscall.SIGTERM)
-	c.until("the daemon has stopped", 60*time.Second, first.stopped)
+	c.waitFor("the daemon has stopped", 60*time.Second, first.exited)
 	for _, d := range c.daemons[1:] {
-		for id, body := range kept {
+		for id, body := range bodies {
 			back, err := d.send("GET", "/v1/requests/"+id, "")
 			assert.NilError(t, err)
 			assert.Equal(t, back.body, body, "%s at %s", id, d.name)
@@ -206,8 +206,8 @@
 
 // An entry runs out of memory or goroutines when callers send without end or
 // not at all. Each gets a clear answer.
-func TestBoundedCallers(t *testing.T) {
-	c := start(t, small())
+func TestOversizedRequestsAreRefused(t *testing.T) {
+	c := startCluster(t, defaultSpec())
 	d := c.daemons[0]
 	r, err := d.send("POST", "/services/parts/x", strings.Repeat("x", 9<<20))
 	assert.NilError(t, err)
@@ -226,7 +226,7 @@
 
 // A caller that stops in the middle of its body holds a connection, and a part
 // of the entry with it, for ever.
-func TestSlowSenderIsAnswered(t *testing.T) {
+func TestStalledRequestBodyTimesOut(t *testing.T) {
 	p := newPair(t)
 	handler := routers.New(p.entry, clockwork.NewRealClock(), zap.NewNop(), 1<<20, 100*time.Millisecond).Handler()
 	srv := httptest.NewServer(handler)
@@ -246,10 +246,10 @@
 
 // Accelerators go on with work that nobody waits for: the caller has closed its
 // connection and cannot come back, since it gave no id of its own.
-func TestEngineStopsWhenItsCallerHasGone(t *testing.T) {
-	c := start(t, small())
+func TestEngineStopsWhenItsCallerDisconnects(t *testing.T) {
+	c := startCluster(t, defaultSpec())
 	ctx, cancel := context.WithCancel(context.Background())
-	req, err := http.NewRequestWithContext(ctx, "POST", "http://"+c.daemons[1].caller+"/v1/chat/completions", strings.NewReader(chatBody("m", "gone", 1000000, true)))
+	req, err := http.NewRequestWithContext(ctx, "POST", "http://"+c.daemons[1].callerAddr+"/v1/chat/completions", strings.NewReader(chatBody("m", "gone", 1000000, true)))
 	assert.NilError(t, err)
 	resp, err := http.DefaultClient.Do(req)
 	assert.NilError(t, err)
@@ -260,7 +260,7 @@
 		}
 		return n
 	}
-	c.until("the engine works", 10*time.Second, func() bool { return running() == 1 })
+	c.waitFor("the engine works", 10*time.Second, func() bool { return running() == 1 })
 	cancel()
-	c.until("the engine has stopped", 20*time.Second, func() bool { return running() == 0 })
+	c.waitFor("the engine has stopped", 20*time.Second, func() bool { return running() == 0 })
 }
--- a/proof/settings_test.go
+++ b/proof/settings_test.go
@@ -28,16 +28,16 @@
 	return status, got
 }
 
-func (d *daemon) read(path string) service.Got {
+func (d *daemon) readNode(path string) service.Got {
 	var got service.Got
 	d.adminCall(http.MethodGet, "/admin/tree?path="+path, nil, &got)
 	return got
 }
 
 // chatNode is the service node of model m, narrowed to places.
-func (c *cluster) chatNode(places ...string) *tree.Node {
+func (c *cluster) chatNode(dataCentres ...string) *tree.Node {
 	node := *c.root.Children["service/chat"]
-	node.Set.Places = &places
+	node.Set.Places = &dataCentres
 	return &node
 }
 
@@ -46,13 +46,13 @@
 // daemons must have it within seconds, and from then on no answer comes from
 // the place that was taken away.
 func TestNarrowingIsInForceWithinSeconds(t *testing.T) {
-	s := small()
+	s := defaultSpec()
 	s.daemons = 6
-	c := start(t, s)
-	got := c.daemons[1].read("/service/chat")
+	c := startCluster(t, s)
+	got := c.daemons[1].readNode("/service/chat")
 	status, _ := c.daemons[1].edit("/service/chat", got.Version, c.chatNode("south"))
 	assert.Equal(t, status, http.StatusOK)
-	c.until("the edit is in force", 10*time.Second, func() bool {
+	c.waitFor("the edit is in force", 10*time.Second, func() bool {
 		var st service.Status
 		c.daemons[2].adminCall(http.MethodGet, "/admin/status", nil, &st)
 		return st.InForce
@@ -61,7 +61,7 @@
 		r, err := d.chat("m", fmt.Sprint("where ", i), 3, false)
 		assert.NilError(t, err)
 		assert.Equal(t, r.status, http.StatusOK, r.body)
-		assert.Equal(t, r.place, "south")
+		assert.Equal(t, r.dataCentre, "south")
 	}
 }
 
@@ -70,11 +70,11 @@
 // several made from the same one exactly one wins, and the others are shown
 // what it wrote.
 func TestRacingOperators(t *testing.T) {
-	c := start(t, small())
+	c := startCluster(t, defaultSpec())
 	for range 5 {
-		base := c.daemons[0].read("/service/chat").Version
+		base := c.daemons[0].readNode("/service/chat").Version
 		codes := make([]int, 6)
-		each(len(codes), func(i int) {
+		runConcurrently(len(codes), func(i int) {
 			node := c.chatNode("north", "south")
 			node.Set.Concurrency = 10 + i
 			codes[i], _ = c.daemons[i%3].edit("/service/chat", base, node)
@@ -95,15 +95,15 @@
 // first try worked: the platform carried out the write and its answer was
 // lost. The write must be recognised as the operator's own.
 func TestLostAnswerOfAnEdit(t *testing.T) {
-	c := start(t, small())
+	c := startCluster(t, defaultSpec())
 	for i := range 5 {
-		base := c.daemons[0].read("/service/chat")
+		base := c.daemons[0].readNode("/service/chat")
 		c.platform.SetFaults(platform.Faults{LoseWrites: 1})
 		node := c.chatNode("north", "south")
 		node.Set.Concurrency = 20 + i
 		status, got := c.daemons[0].edit("/service/chat", base.Version, node)
 		assert.Equal(t, status, http.StatusOK)
-		now := c.daemons[1].read("/service/chat")
+		now := c.daemons[1].readNode("/service/chat")
 		assert.Equal(t, now.Version, got.Version)
 		assert.Equal(t, now.Node.Set.Concurrency, 20+i)
 		assert.Equal(t, len(now.Log), min(10, len(base.Log)+1), "the edit was written once")
@@ -114,16 +114,16 @@
 // dangling names are refused with all faults at once, and a branch that
 // somebody else wrote wrongly into the platform does not replace the good one.
 func TestBadSettingsNeverGetIntoForce(t *testing.T) {
-	c := start(t, small())
-	base := c.daemons[0].read("/service/review").Version
-	wide := []string{"north", "west"}
+	c := startCluster(t, defaultSpec())
+	base := c.daemons[0].readNode("/service/review").Version
+	widened := []string{"north", "west"}
 	status, _ := c.daemons[0].edit("/service/review/model/r", base, &tree.Node{
-		Set: tree.Settings{Places: &wide, Repeat: yes()}, Model: &tree.Model{Version: "1", Memory: 1, Base: "nowhere"},
+		Set: tree.Settings{Places: &widened, Repeat: truePtr()}, Model: &tree.Model{Version: "1", Memory: 1, Base: "nowhere"},
 	})
 	assert.Equal(t, status, http.StatusUnprocessableEntity)
 
 	c.platformPut(core.KindTree, "service.chat", `{"node":{"set":{"concurency":1}}}`)
-	c.until("the fault is shown", 10*time.Second, func() bool {
+	c.waitFor("the fault is shown", 10*time.Second, func() bool {
 		var st service.Status
 		c.daemons[0].adminCall(http.MethodGet, "/admin/status", nil, &st)
 		for _, m := range st.Members {
@@ -135,22 +135,22 @@
 	})
 	r, err := c.daemons[0].chat("m", "still", 3, false)
 	assert.NilError(t, err)
-	assert.NilError(t, right(r, "m", "still", 3))
+	assert.NilError(t, checkAnswer(r, "m", "still", 3))
 }
 
 // platformPut writes an object past the system.
 func (c *cluster) platformPut(kind, name, spec string) {
 	c.t.Helper()
-	url := "http://" + c.platAddr + wire.PathObjects + kind + "/" + name
+	url := "http://" + c.platformAddr + wire.PathObjects + kind + "/" + name
 	var item wire.Item
-	if call(adminClient, http.MethodGet, url, nil, &item) != http.StatusOK {
+	if callJSON(adminClient, http.MethodGet, url, nil, &item) != http.StatusOK {
 		item.Metadata.Name = name
 		item.Spec = json.RawMessage(spec)
-		call(adminClient, http.MethodPost, "http://"+c.platAddr+wire.PathObjects+kind, item, nil)
+		callJSON(adminClient, http.MethodPost, "http://"+c.platformAddr+wire.PathObjects+kind, item, nil)
 		return
 	}
 	item.Spec = json.RawMessage(spec)
-	assert.Equal(c.t, call(adminClient, http.MethodPut, url, item, nil), http.StatusOK)
+	assert.Equal(c.t, callJSON(adminClient, http.MethodPut, url, item, nil), http.StatusOK)
 }
 
 // Regulated data would be served where an operator has just forbidden it. A
@@ -158,22 +158,22 @@
 // the daemon must come back with the newest settings that anyone has, and never
 // an older one.
 func TestSettingsNeverGoBack(t *testing.T) {
-	c := start(t, small())
-	base := c.daemons[0].read("/service/chat")
+	c := startCluster(t, defaultSpec())
+	base := c.daemons[0].readNode("/service/chat")
 	status, got := c.daemons[0].edit("/service/chat", base.Version, c.chatNode("south"))
 	assert.Equal(t, status, http.StatusOK)
-	c.until("in force", 10*time.Second, func() bool { return c.daemons[2].versionHere("service/chat") == got.Version })
+	c.waitFor("in force", 10*time.Second, func() bool { return c.daemons[2].ownVersion("service/chat") == got.Version })
 	c.platform.SetFaults(platform.Faults{StaleWatch: true})
 	for _, d := range c.daemons {
 		d.kill()
 		d.start()
-		c.until("served again", 20*time.Second, func() bool {
-			assert.Check(t, !c.anyBelow("service/chat", got.Version), "a daemon went back")
+		c.waitFor("served again", 20*time.Second, func() bool {
+			assert.Check(t, !c.anyOlder("service/chat", got.Version), "a daemon went back")
 			r, err := d.chat("m", "again", 3, false)
 			if err != nil || r.status != http.StatusOK {
 				return false
 			}
-			assert.Equal(t, r.place, "south")
+			assert.Equal(t, r.dataCentre, "south")
 			return true
 		})
 	}
@@ -181,16 +181,16 @@
 	d := c.daemons[1]
 	d.kill()
 	d.start()
-	c.until("served from peers' settings", 20*time.Second, func() bool {
+	c.waitFor("served from peers' settings", 20*time.Second, func() bool {
 		r, err := d.chat("m", "outage", 3, false)
-		return err == nil && r.status == http.StatusOK && r.place == "south"
+		return err == nil && r.status == http.StatusOK && r.dataCentre == "south"
 	})
-	assert.Equal(t, d.versionHere("service/chat"), got.Version)
+	assert.Equal(t, d.ownVersion("service/chat"), got.Version)
 }
 
 // versionHere is the version of a branch in a daemon's own memory, 0 if the
 // daemon does not answer.
-func (d *daemon) versionHere(branch string) uint64 {
+func (d *daemon) ownVersion(branch string) uint64 {
 	var st service.Status
 	d.adminCall(http.MethodGet, "/admin/status", nil, &st)
 	for _, m := range st.Members {
@@ -201,9 +201,9 @@
 	return 0
 }
 
-func (c *cluster) anyBelow(branch string, version uint64) bool {
+func (c *cluster) anyOlder(branch string, version uint64) bool {
 	for _, d := range c.daemons {
-		if v := d.versionHere(branch); v != 0 && v < version {
+		if v := d.ownVersion(branch); v != 0 && v < version {
 			return true
 		}
 	}
@@ -215,9 +215,9 @@
 // After a few seconds it must get nothing new, and its model must be ready
 // elsewhere.
 func TestLeavingEndpointGetsNoNewWork(t *testing.T) {
-	s := small()
-	s.plain = []string{"p1", "p2"}
-	c := start(t, s)
+	s := defaultSpec()
+	s.plainEndpoints = []string{"p1", "p2"}
+	c := startCluster(t, s)
 	c.platformPut(core.KindVM, "p1", `{"state":"leaving"}`)
 	lookups := func() (onP1 int) {
 		for i := range 12 {
@@ -230,13 +230,13 @@
 		}
 		return onP1
 	}
-	c.until("the leaving endpoint gets nothing", 20*time.Second, func() bool { return lookups() == 0 })
+	c.waitFor("the leaving endpoint gets nothing", 20*time.Second, func() bool { return lookups() == 0 })
 	before := len(c.services["p1"].Runs())
 	assert.Equal(t, lookups(), 0)
 	assert.Equal(t, len(c.services["p1"].Runs()), before)
 
 	c.services["p2"].SetFaults(plain.Faults{Leaving: true})
-	c.until("no endpoint takes new work", 20*time.Second, func() bool {
+	c.waitFor("no endpoint takes new work", 20*time.Second, func() bool {
 		r, err := c.daemons[0].send("GET", "/services/parts/x", "")
 		assert.NilError(t, err)
 		if r.status == http.StatusOK {
@@ -244,21 +244,21 @@
 		}
 		assert.Equal(t, r.outcome, "not_run")
 		assert.Equal(t, r.status, http.StatusServiceUnavailable)
-		assert.Check(t, r.retry != "")
+		assert.Check(t, r.retryAfter != "")
 		return true
 	})
 
 	// The only runner of the review model leaves: the model moves first.
-	c.platformPut(core.KindVM, c.holder("r"), `{"state":"leaving"}`)
-	c.until("the model is ready elsewhere", 20*time.Second, func() bool {
+	c.platformPut(core.KindVM, c.readyRunner("r"), `{"state":"leaving"}`)
+	c.waitFor("the model is ready elsewhere", 20*time.Second, func() bool {
 		r, err := c.daemons[0].chat("r", "moved", 3, false)
 		return err == nil && r.status == http.StatusOK
 	})
-	c.noOverCommit()
+	c.checkNoOverCommit()
 }
 
 // holder returns an engine that has a model ready.
-func (c *cluster) holder(model string) string {
+func (c *cluster) readyRunner(model string) string {
 	var runners []service.RunnerStatus
 	c.daemons[0].adminCall(http.MethodGet, "/admin/runners", nil, &runners)
 	for _, r := range runners {
@@ -275,35 +275,35 @@
 // requests, streams and the failover of a dead owner go on; what needs a write
 // is refused truthfully and at once.
 func TestPlatformOutage(t *testing.T) {
-	s := small()
+	s := defaultSpec()
 	s.daemons = 4
-	c := start(t, s)
+	c := startCluster(t, s)
 	c.platform.SetFaults(platform.Faults{Down: true})
-	c.owner("e1").signal(syscall.SIGKILL)
+	c.ownerOf("e1").signal(syscall.SIGKILL)
 	errs := make([]error, 40)
-	each(8, func(w int) {
+	runConcurrently(8, func(w int) {
 		for i := w; i < len(errs); i += 8 {
-			errs[i] = c.insist(i, "m", fmt.Sprint("outage ", i), 20, i%2 == 0)
+			errs[i] = c.chatWithRetries(i, "m", fmt.Sprint("outage ", i), 20, i%2 == 0)
 		}
 	})
 	checkErrors(t, errs)
-	var live *daemon
+	var running *daemon
 	for _, d := range c.daemons {
-		if !d.stopped() {
-			live = d
+		if !d.exited() {
+			running = d
 		}
 	}
 	began := time.Now()
 	const deadline = 2 * time.Minute
-	r, err := live.send("POST", "/services/parts/orders/o", "belt", "Idempotency-Key", "outage", "Primrose-Timeout", deadline.String())
+	r, err := running.send("POST", "/services/parts/orders/o", "belt", "Idempotency-Key", "outage", "Primrose-Timeout", deadline.String())
 	assert.NilError(t, err)
 	assert.Equal(t, r.outcome, "not_run", r.body)
-	assert.Check(t, r.retry != "")
+	assert.Check(t, r.retryAfter != "")
 	assert.Check(t, time.Since(began) < deadline/4, "the refusal is held back")
 	assert.Equal(t, c.runsOf("/orders/o"), 0)
 	c.platform.SetFaults(platform.Faults{})
-	c.until("the order can be made", 30*time.Second, func() bool {
-		r, err := live.send("POST", "/services/parts/orders/o", "belt", "Idempotency-Key", "outage")
+	c.waitFor("the order can be made", 30*time.Second, func() bool {
+		r, err := running.send("POST", "/services/parts/orders/o", "belt", "Idempotency-Key", "outage")
 		return err == nil && r.status == http.StatusOK
 	})
 	assert.Equal(t, c.runsOf("/orders/o"), 1)
--- a/proof/silent_test.go
+++ b/proof/silent_test.go
@@ -39,24 +39,24 @@
 )
 
 // wireTap is a TCP forwarder whose connections can be made silent or cut.
-type wireTap struct {
+type tcpProxy struct {
 	to     string
 	ln     net.Listener
 	mu     sync.Mutex
-	conns  []*tapped
+	conns  []*proxiedConn
 	passed atomic.Int64 // bytes towards the caller of the connection
 	down   atomic.Bool  // new connections are closed at once
 }
 
-type tapped struct {
-	a, b   net.Conn
-	silent atomic.Bool
+type proxiedConn struct {
+	a, b    net.Conn
+	stalled atomic.Bool
 }
 
-func newTap(t *testing.T, to string) *wireTap {
+func newTCPProxy(t *testing.T, to string) *tcpProxy {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
-	w := &wireTap{to: to, ln: ln}
+	w := &tcpProxy{to: to, ln: ln}
 	go w.run()
 	t.Cleanup(func() {
 		_ = ln.Close()
@@ -65,9 +65,9 @@
 	return w
 }
 
-func (w *wireTap) addr() netip.AddrPort { return netip.MustParseAddrPort(w.ln.Addr().String()) }
+func (w *tcpProxy) addr() netip.AddrPort { return netip.MustParseAddrPort(w.ln.Addr().String()) }
 
-func (w *wireTap) run() {
+func (w *tcpProxy) run() {
 	for {
 		a, err := w.ln.Accept()
 		if err != nil {
@@ -78,7 +78,7 @@
 			_ = a.Close()
 			continue
 		}
-		c := &tapped{a: a, b: b}
+		c := &proxiedConn{a: a, b: b}
 		w.mu.Lock()
 		w.conns = append(w.conns, c)
 		w.mu.Unlock()
@@ -89,11 +89,11 @@
 
 // copy forwards bytes, or swallows them once the connection is silent. A
 // silent connection passes on no end either.
-func (w *wireTap) copy(c *tapped, from, to net.Conn, count *atomic.Int64) {
+func (w *tcpProxy) copy(c *proxiedConn, from, to net.Conn, count *atomic.Int64) {
 	buf := make([]byte, 4096)
 	for {
 		n, err := from.Read(buf)
-		if c.silent.Load() {
+		if c.stalled.Load() {
 			if err != nil {
 				return
 			}
@@ -115,15 +115,15 @@
 }
 
 // silence makes all connections of now silent; new ones work.
-func (w *wireTap) silence() {
+func (w *tcpProxy) stall() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	for _, c := range w.conns {
-		c.silent.Store(true)
+		c.stalled.Store(true)
 	}
 }
 
-func (w *wireTap) cut() {
+func (w *tcpProxy) cut() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	for _, c := range w.conns {
@@ -136,12 +136,12 @@
 type pair struct {
 	entry  *entry.Entry
 	owner  *owner.Manager
-	tap    *wireTap
+	proxy  *tcpProxy
 	engine *engine.Server
 	parts  *plain.Server
 }
 
-func member1(name string) core.Member {
+func newMember(name string) core.Member {
 	return core.Member{Name: name, Place: name, Peer: netip.MustParseAddrPort("127.0.0.1:1"), Caller: netip.MustParseAddrPort("127.0.0.1:1"), Boot: 7}
 }
 
@@ -160,12 +160,12 @@
 		})
 		return s.Listener.Addr().String()
 	}
-	platAddr := netip.MustParseAddrPort(serve(platform.New()))
-	client := wire.New(platAddr, clock, wire.WithRate(1000, 1000))
+	platformAddr := netip.MustParseAddrPort(serve(platform.New()))
+	client := wire.New(platformAddr, clock, wire.WithRate(1000, 1000))
 	replica := tree.NewReplica()
-	places := []string{"a", "b"}
+	dataCentres := []string{"a", "b"}
 	root := &tree.Node{
-		Set: tree.Settings{Places: &places, Stall: core.Duration(10 * time.Second)},
+		Set: tree.Settings{Places: &dataCentres, Stall: core.Duration(10 * time.Second)},
 		Endpoints: map[string]tree.Endpoint{
 			"e": {Addr: serve(p.engine), Place: "b", Kind: tree.KindModel, Memory: 80 * gb, Slots: 8},
 			"p": {Addr: serve(p.parts), Place: "b", Kind: tree.KindPlain, Service: "parts", Slots: 8},
@@ -173,20 +173,20 @@
 	}
 	parts := &tree.Node{Service: &tree.Service{Kind: tree.KindPlain}}
 	models := &tree.Node{Model: &tree.Model{Version: "1", Memory: 14 * gb}}
-	for i, one := range []struct {
+	for i, branch := range []struct {
 		name string
 		node *tree.Node
 	}{{tree.Root, root}, {"service/parts", parts}, {"model/m", models}} {
-		body, err := json.Marshal(tree.Stored{Node: one.node})
+		body, err := json.Marshal(tree.Stored{Node: branch.node})
 		assert.NilError(t, err)
-		replica.Apply([]tree.Branch{{Name: one.name, Version: uint64(i + 1), Body: body}})
+		replica.Apply([]tree.Branch{{Name: branch.name, Version: uint64(i + 1), Body: body}})
 	}
 	assert.Assert(t, replica.Tree() != nil)
 	tables := map[string]*member.Table{}
-	for _, name := range places {
-		tables[name] = member.NewTable(clock, member1(name))
-		for _, other := range places {
-			tables[name].Merge(member1(other))
+	for _, name := range dataCentres {
+		tables[name] = member.NewTable(clock, newMember(name))
+		for _, other := range dataCentres {
+			tables[name].Merge(newMember(other))
 		}
 	}
 	dir := directory.New(clock)
@@ -201,16 +201,16 @@
 		func(_ context.Context, key string) []directory.Report { return dir.Find(key) }))
 	claims := claim.New(client, tables["a"], clock, zap.NewNop())
 	claims.Start()
-	there := entry.New(replica, tables["b"], nil, p.owner, dir, claims, clock)
-	h := &rpc.Handler{Table: tables["b"], Owner: p.owner, Entry: there, Dir: dir, Clock: clock}
+	remoteEntry := entry.New(replica, tables["b"], nil, p.owner, dir, claims, clock)
+	h := &rpc.Handler{Table: tables["b"], Owner: p.owner, Entry: remoteEntry, Dir: dir, Clock: clock}
 	server, err := peer.NewServer(h)
 	assert.NilError(t, err)
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
 	go func() { _ = server.Serve(ln) }()
 	t.Cleanup(func() { _ = server.Close() })
-	p.tap = newTap(t, ln.Addr().String())
-	dial := func(netip.AddrPort) peerv1connect.PeerClient { return pool.Dial(p.tap.addr()) }
+	p.proxy = newTCPProxy(t, ln.Addr().String())
+	dial := func(netip.AddrPort) peerv1connect.PeerClient { return pool.Dial(p.proxy.addr()) }
 	p.entry = entry.New(replica, tables["a"], dial, p.owner, dir, claims, clock)
 	p.owner.Start()
 	p.entry.Start()
@@ -224,11 +224,11 @@
 			return poll.Success()
 		}
 		return poll.Continue("no reports yet")
-	}, within(10*time.Second)...)
+	}, pollWithin(10*time.Second)...)
 	return p
 }
 
-func (p *pair) ask(a *entry.Ask) (string, error) {
+func (p *pair) run(a *entry.Ask) (string, error) {
 	ctx := context.Background()
 	a.ID, a.Scope, a.Method, a.Class = entry.NewID(), "t", http.MethodPost, core.ClassNormal
 	a.Deadline = time.Now().Add(30 * time.Second)
@@ -250,12 +250,12 @@
 	}
 }
 
-func (p *pair) chat(prompt string, tokens int, repeat bool) error {
-	got, err := p.ask(&entry.Ask{Model: "m", Path: "/v1/chat/completions", Repeat: repeat, Stream: true, Body: []byte(chatBody("m", prompt, tokens, true))})
+func (p *pair) chat(prompt string, tokens int, repeatable bool) error {
+	got, err := p.run(&entry.Ask{Model: "m", Path: "/v1/chat/completions", Repeat: repeatable, Stream: true, Body: []byte(chatBody("m", prompt, tokens, true))})
 	if err != nil {
 		return err
 	}
-	return right(reply{status: http.StatusOK, body: got}, "m", prompt, tokens)
+	return checkAnswer(reply{status: http.StatusOK, body: got}, "m", prompt, tokens)
 }
 
 // A caller waits for ever or gets a cut answer. The connection between entry
@@ -264,28 +264,28 @@
 // on from their offset over a new connection; the engine sees each request
 // once, whether it may be repeated or not.
 func TestSilentConnectionBetweenDaemons(t *testing.T) {
-	for _, repeat := range []bool{true, false} {
+	for _, repeatable := range []bool{true, false} {
 		for _, fault := range []string{"silent", "cut"} {
-			t.Run(fmt.Sprintf("%s, repeat %t", fault, repeat), func(t *testing.T) {
+			t.Run(fmt.Sprintf("%s, repeat %t", fault, repeatable), func(t *testing.T) {
 				p := newPair(t)
 				errs := make([]error, 6)
 				done := make(chan struct{})
 				go func() {
 					defer close(done)
-					each(len(errs), func(i int) { errs[i] = p.chat(fmt.Sprint("s", i), 1500, repeat) })
+					runConcurrently(len(errs), func(i int) { errs[i] = p.chat(fmt.Sprint("s", i), 1500, repeatable) })
 				}()
 				for range 2 {
-					from := p.tap.passed.Load()
+					from := p.proxy.passed.Load()
 					poll.WaitOn(t, func(poll.LogT) poll.Result {
-						if p.tap.passed.Load() > from+20000 {
+						if p.proxy.passed.Load() > from+20000 {
 							return poll.Success()
 						}
 						return poll.Continue("no data yet")
-					}, within(20*time.Second)...)
+					}, pollWithin(20*time.Second)...)
 					if fault == "cut" {
-						p.tap.cut()
+						p.proxy.cut()
 					} else {
-						p.tap.silence()
+						p.proxy.stall()
 					}
 				}
 				<-done
@@ -303,16 +303,16 @@
 func TestRefusalsAreTrueAtEveryCut(t *testing.T) {
 	p := newPair(t)
 	p.parts.SetFaults(plain.Faults{Delay: 5 * time.Millisecond})
-	told := map[string]int{}
+	outcomes := map[string]int{}
 	for i := range 40 {
 		path := fmt.Sprint("/order/", i)
 		stop := time.AfterFunc(time.Duration(i/2)*500*time.Microsecond, func() {
-			p.tap.down.Store(i%2 == 0)
-			p.tap.cut()
+			p.proxy.down.Store(i%2 == 0)
+			p.proxy.cut()
 		})
-		got, err := p.ask(&entry.Ask{Service: "parts", Path: path, Body: []byte("belt")})
+		got, err := p.run(&entry.Ask{Service: "parts", Path: path, Body: []byte("belt")})
 		stop.Stop()
-		p.tap.down.Store(false)
+		p.proxy.down.Store(false)
 		var re *core.RequestError
 		runs := 0
 		for _, r := range p.parts.Runs() {
@@ -323,15 +323,15 @@
 		switch {
 		case err == nil:
 			assert.Equal(t, runs, 1, got)
-			told["answered"]++
+			outcomes["answered"]++
 		case errors.As(err, &re) && re.Outcome == core.OutcomeNotRun:
 			time.Sleep(20 * time.Millisecond) // a request still under way would show
 			assert.Equal(t, runs, 0, "%s: %v", path, err)
-			told["not run"]++
+			outcomes["not run"]++
 		default:
 			assert.Assert(t, runs <= 1, "%s: %v", path, err)
-			told["may have run"]++
+			outcomes["may have run"]++
 		}
 	}
-	t.Log(told)
+	t.Log(outcomes)
 }
--- a/proof/trace_test.go
+++ b/proof/trace_test.go
@@ -15,10 +15,10 @@
 func TestEachHopHasASpan(t *testing.T) {
 	spans := tracetest.NewSpanRecorder()
 	provider := sdk.NewTracerProvider(sdk.WithSpanProcessor(spans))
-	before := otel.GetTracerProvider()
+	previous := otel.GetTracerProvider()
 	otel.SetTracerProvider(provider)
 	otel.SetTextMapPropagator(propagation.TraceContext{}) // as the daemon does
-	defer otel.SetTracerProvider(before)
+	defer otel.SetTracerProvider(previous)
 	p := newPair(t)
 	assert.NilError(t, p.chat("trace me", 5, true))
 	p.entry.Stop()
--- a/proof/workspaces_test.go
+++ b/proof/workspaces_test.go
@@ -58,7 +58,7 @@
 }
 
 // runsAt are the requests of a service that have run, at all runners.
-func (c *fleetCluster) runsAt(service string) []runner.Run {
+func (c *fleetCluster) runsAtService(service string) []runner.Run {
 	var out []runner.Run
 	for _, r := range c.runners {
 		if r.Service == service {
@@ -95,7 +95,7 @@
 		assert.NilError(t, err, tt.name)
 		assert.Equal(t, status, tt.status, "%s: %s", tt.name, body)
 		ran := false
-		for _, r := range append(c.runsAt("app"), c.runsAt("gen")...) {
+		for _, r := range append(c.runsAtService("app"), c.runsAtService("gen")...) {
 			if r.Body != tt.name {
 				continue
 			}
@@ -105,7 +105,7 @@
 		}
 		assert.Equal(t, ran, status == http.StatusOK, tt.name)
 	}
-	out, code := c.ctl(c.daemons[0], "", "workspaces")
+	out, code := c.primrosectl(c.daemons[0], "", "workspaces")
 	assert.Equal(t, code, 0, out)
 	assert.Assert(t, strings.Contains(out, "one") && !strings.Contains(out, "k1"), out)
 }
@@ -115,14 +115,14 @@
 // refused.
 func TestFleetTakesKeysAway(t *testing.T) {
 	c := startFleet(t, 3)
-	one := func(version int, keys ...string) {
+	putKeys := func(version int, keys ...string) {
 		c.put(wire.KindConfig, wire.NameConfig, workspaceConfig(version, workspace{name: "one", keys: keys}))
 	}
-	one(2, "old")
+	putKeys(2, "old")
 	for _, d := range c.daemons {
 		c.awaitStatus(d, "old", http.StatusOK)
 	}
-	one(3, "old", "new")
+	putKeys(3, "old", "new")
 	for _, d := range c.daemons {
 		c.awaitStatus(d, "new", http.StatusOK)
 	}
@@ -133,10 +133,10 @@
 			assert.Equal(t, status, http.StatusOK, "%s: %s", key, body)
 		}
 	}
-	one(4, "new")
+	putKeys(4, "new")
 	time.Sleep(2 * time.Second)
-	before := len(c.runsAt("app"))
-	refused := func() {
+	before := len(c.runsAtService("app"))
+	checkRefused := func() {
 		t.Helper()
 		for _, d := range c.daemons {
 			status, body, err := d.send("/ask/x", "", "", withKey("old"))
@@ -144,14 +144,14 @@
 			assert.Equal(t, status, http.StatusUnauthorized, "%s: %s", d.name, body)
 		}
 	}
-	refused()
+	checkRefused()
 	c.store.SetFaults(platform.Faults{Down: true})
-	refused()
+	checkRefused()
 	c.daemons[2].restart(c)
-	c.await(c.daemons[2], http.StatusOK)
-	refused()
+	c.awaitReadyStatus(c.daemons[2], http.StatusOK)
+	checkRefused()
 	c.store.SetFaults(platform.Faults{})
-	assert.Equal(t, len(c.runsAt("app")), before)
+	assert.Equal(t, len(c.runsAtService("app")), before)
 }
 
 // A workspace uses more than its allowance by sending to all daemons, also as one of them
@@ -192,25 +192,25 @@
 	time.Sleep(3 * time.Second)
 	c.daemons[2].restart(c)
 	wg.Wait()
-	var at []time.Time
-	for _, r := range c.runsAt("app") {
+	var runTimes []time.Time
+	for _, r := range c.runsAtService("app") {
 		if r.Body == "hot" {
-			at = append(at, r.At)
+			runTimes = append(runTimes, r.At)
 		}
 	}
-	most := 0
-	for _, from := range at {
+	peak := 0
+	for _, from := range runTimes {
 		n := 0
-		for _, one := range at {
-			if !one.Before(from) && one.Sub(from) <= window {
+		for _, run := range runTimes {
+			if !run.Before(from) && run.Sub(from) <= window {
 				n++
 			}
 		}
-		most = max(most, n)
+		peak = max(peak, n)
 	}
 	bound := (rate*window.Seconds()+burst)*1.1 + slack
-	t.Logf("hot: %d runs, at most %d in %v, which is %.2f of the bound; calm: %d of %d", len(at), most, window, float64(most)*plainTokens/bound, served, calm)
-	assert.Check(t, float64(most)*plainTokens <= bound)
-	assert.Check(t, float64(len(at))*plainTokens >= 0.7*rate*6, "the allowance is left unused")
+	t.Logf("hot: %d runs, at most %d in %v, which is %.2f of the bound; calm: %d of %d", len(runTimes), peak, window, float64(peak)*plainTokens/bound, served, calm)
+	assert.Check(t, float64(peak)*plainTokens <= bound)
+	assert.Check(t, float64(len(runTimes))*plainTokens >= 0.7*rate*6, "the allowance is left unused")
 	assert.Check(t, served*100 >= 95*calm, "%d of %d", served, calm)
 }
