--- a/proof/caller_test.go
+++ b/proof/caller_test.go
@@ -17,7 +17,7 @@
 	"primroseward/standin/engine"
 )
 
-// reply is what a caller got.
+// reply is the answer that a caller received.
 type reply struct {
 	status     int
 	body       string
@@ -28,11 +28,13 @@
 	runner     string
 }
 
-// errCut says that an answer broke off.
-var errTruncated = errors.New("the answer was cut")
+// errTruncated is returned for an answer that ended before it was complete.
+var errTruncated = errors.New("truncated answer")
 
 var callerClient = &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 100}}
 
+// callJSON sends in as JSON and decodes an answer with status 200 into out. It returns the
+// status, or 0 if there is no answer or its body cannot be decoded.
 func callJSON(client *http.Client, method, url string, in, out any) int {
 	data, _ := json.Marshal(in)
 	req, err := http.NewRequest(method, url, bytes.NewReader(data))
@@ -53,8 +55,8 @@
 	return resp.StatusCode
 }
 
-// send makes one call without any retry. A request without GetBody is never
-// sent twice by the client itself.
+// send makes one request and never retries it. The body has no GetBody, so http.Client
+// cannot send it a second time by itself either.
 func (d *daemon) send(method, path, body string, header ...string) (reply, error) {
 	req, err := http.NewRequest(method, "http://"+d.callerAddr+path, io.NopCloser(strings.NewReader(body)))
 	if err != nil {
@@ -99,8 +101,8 @@
 	return d.send(http.MethodPost, "/v1/chat/completions", chatBody(model, prompt, tokens, stream), header...)
 }
 
-// textOf reads the text of an answer, streamed or not. An answer without its
-// end marker is an error.
+// answerText returns the text of an answer, streamed or not. A streamed answer without its
+// end marker returns errTruncated.
 func answerText(body string) (string, error) {
 	if !strings.HasPrefix(body, "data:") {
 		var full struct {
@@ -111,7 +113,7 @@
 			} `json:"choices"`
 		}
 		if err := json.Unmarshal([]byte(body), &full); err != nil || len(full.Choices) != 1 {
-			return "", fmt.Errorf("not an answer: %s", body)
+			return "", fmt.Errorf("not a chat completion: %s", body)
 		}
 		return full.Choices[0].Message.Content, nil
 	}
@@ -133,14 +135,15 @@
 			} `json:"choices"`
 		}
 		if err := json.Unmarshal([]byte(data), &chunk); err != nil || len(chunk.Choices) != 1 {
-			return "", fmt.Errorf("not a chunk: %s", data)
+			return "", fmt.Errorf("not a chat completion chunk: %s", data)
 		}
 		text.WriteString(chunk.Choices[0].Delta.Content)
 	}
 	return text.String(), errTruncated
 }
 
-// right says whether a reply is the whole answer to a prompt and nothing else.
+// checkAnswer returns an error unless a reply is the complete answer to a prompt and
+// nothing else.
 func checkAnswer(r reply, model, prompt string, tokens int) error {
 	if r.status != http.StatusOK {
 		return fmt.Errorf("status %d: %s", r.status, r.body)
@@ -155,8 +158,8 @@
 	return nil
 }
 
-// insist asks as callers should: with an id of their own, at another entry
-// when a connection breaks or a refusal says when to come back.
+// chatWithRetries sends a chat request as callers should: under an id of their own, and at
+// another entry when a connection breaks or a refusal says when to come back.
 func (c *cluster) chatWithRetries(first int, model, prompt string, tokens int, stream bool) error {
 	id := uuid.NewString()
 	var lastErr error
@@ -166,7 +169,7 @@
 		if err == nil && r.status == http.StatusOK {
 			return checkAnswer(r, model, prompt, tokens)
 		}
-		lastErr = fmt.Errorf("try %d at %s: %v, status %d, %s", attempt, d.name, err, r.status, r.body)
+		lastErr = fmt.Errorf("attempt %d at %s: %v, status %d, %s", attempt, d.name, err, r.status, r.body)
 		time.Sleep(200 * time.Millisecond)
 	}
 	return lastErr
--- a/proof/cluster_test.go
+++ b/proof/cluster_test.go
@@ -1,5 +1,6 @@
-// Package proof shows the system's promises with real processes: daemons as
-// built, stand-ins of the systems around them in the test's own process.
+// Package proof tests the system's guarantees with real processes: the daemons as they are
+// built, and stand-ins of the platform, the engines and the services inside the test's own
+// process.
 package proof
 
 import (
@@ -26,7 +27,7 @@
 	"primroseward/state/tree"
 )
 
-// binary is the daemon, built once for all tests.
+// daemonBinary is the path of primrosed, built once for all tests.
 var daemonBinary string
 
 func TestMain(m *testing.M) {
@@ -45,7 +46,8 @@
 	os.Exit(code)
 }
 
-// cluster is a system with its surroundings.
+// cluster is a set of daemons with the stand-ins of the platform, the engines and the plain
+// services.
 type cluster struct {
 	t            *testing.T
 	platform     *platform.Server
@@ -70,13 +72,14 @@
 	done       chan struct{}
 }
 
-// spec is what a test asks for.
+// clusterSpec describes the cluster that a test needs.
 type clusterSpec struct {
 	daemons        int
 	dataCentres    []string
 	engines        []engineSpec
-	plainEndpoints []string // names; each is a service "parts" endpoint
-	// serve makes the server of an endpoint and returns its address; nil: a common one.
+	plainEndpoints []string // names of endpoints of service parts
+	// serve starts the server of an endpoint and returns its address; nil: an httptest
+	// server.
 	serve func(h http.Handler) string
 }
 
@@ -100,7 +103,7 @@
 	}
 }
 
-// start brings up a cluster whose models are all ready.
+// startCluster starts a cluster and waits until all its models are ready.
 func startCluster(t *testing.T, s clusterSpec) *cluster {
 	t.Helper()
 	c := &cluster{t: t, platform: platform.New(), engines: map[string]*engine.Server{}, services: map[string]*plain.Server{}}
@@ -150,9 +153,9 @@
 
 func falsePtr() *bool { b := false; return &b }
 
-// tree is a settings tree: service chat with model m (anywhere) and service
-// review with model r (south only, not to be repeated), and plain service
-// parts, whose orders may not be repeated.
+// settingsTree returns a settings tree with service chat and its model m (in any data
+// centre), service review and its model r (in the last data centre only, requests not
+// repeatable), and plain service parts, whose POST /orders is not repeatable.
 func (c *cluster) settingsTree(s clusterSpec) *tree.Node {
 	south := []string{s.dataCentres[len(s.dataCentres)-1]}
 	root := &tree.Node{
@@ -221,13 +224,13 @@
 
 func (d *daemon) signal(s syscall.Signal) { _ = d.cmd.Process.Signal(s) }
 
-// kill ends the process at once, frozen or not.
+// kill ends the process at once, also while it is suspended, and waits for its exit.
 func (d *daemon) kill() {
 	d.signal(syscall.SIGKILL)
 	<-d.done
 }
 
-// stopped says whether a graceful stop has ended.
+// exited reports whether the process has exited.
 func (d *daemon) exited() bool {
 	select {
 	case <-d.done:
@@ -251,19 +254,19 @@
 	return []poll.SettingOp{poll.WithTimeout(d), poll.WithDelay(50 * time.Millisecond)}
 }
 
-// until waits for a condition; its bound is generous, since a wait that ends
-// early costs nothing.
+// waitFor waits for a condition. Its time limits are generous, since a wait that ends early
+// costs nothing.
 func (c *cluster) waitFor(what string, d time.Duration, ok func() bool) {
 	c.t.Helper()
 	poll.WaitOn(c.t, func(poll.LogT) poll.Result {
 		if ok() {
 			return poll.Success()
 		}
-		return poll.Continue("not yet: %s", what)
+		return poll.Continue("not yet true: %s", what)
 	}, pollWithin(d)...)
 }
 
-// apply writes the cluster's tree through the first daemon.
+// applyTree writes the cluster's settings tree through the first daemon.
 func (c *cluster) applyTree() {
 	c.t.Helper()
 	c.waitFor("the tree is accepted", 20*time.Second, func() bool {
@@ -271,6 +274,8 @@
 	})
 }
 
+// awaitReady waits until the settings are in force at all daemons, all but one of the engines
+// have model m ready and one has model r.
 func (c *cluster) awaitReady() {
 	c.t.Helper()
 	c.waitFor("all models and settings are in force", 30*time.Second, func() bool {
@@ -282,7 +287,7 @@
 	})
 }
 
-// served says whether at least n engines have a model ready and reported.
+// hasReplicas reports whether at least n engines have reported a model as ready.
 func (c *cluster) hasReplicas(model string, n int) bool {
 	var runners []service.RunnerStatus
 	c.daemons[0].adminCall(http.MethodGet, "/admin/runners", nil, &runners)
@@ -296,6 +301,7 @@
 	return n <= 0
 }
 
+// ownerOf returns the daemon that owns a runner, or nil if no daemon answers or none owns it.
 func (c *cluster) ownerOf(runner string) *daemon {
 	var runners []service.RunnerStatus
 	for _, queried := range c.daemons {
@@ -319,14 +325,15 @@
 	return callJSON(adminClient, method, "http://"+d.adminAddr+path, in, out)
 }
 
+// checkNoOverCommit checks that no engine ever had more than its 80 GB of memory in use.
 func (c *cluster) checkNoOverCommit() {
 	c.t.Helper()
 	for name, e := range c.engines {
-		assert.Check(c.t, e.Peak() <= 80*gb, "engine %s held %d bytes", name, e.Peak())
+		assert.Check(c.t, e.Peak() <= 80*gb, "engine %s had %d bytes loaded at its peak", name, e.Peak())
 	}
 }
 
-// each runs fn n times at once and waits.
+// runConcurrently runs fn n times at once and waits for all of them.
 func runConcurrently(n int, fn func(i int)) {
 	var wg sync.WaitGroup
 	for i := range n {
--- a/proof/crash_test.go
+++ b/proof/crash_test.go
@@ -22,40 +22,45 @@
 )
 
 const (
-	// fatal begins the body of a request that ends each runner that begins to run it.
+	// fatalBody is the prefix of request bodies that make each runner that begins to run
+	// them exit.
 	fatalBody = "fatal"
-	// crashesBorne is how many runners may end under a request before it is stopped,
-	// retriesBorne how many times it may reach runners later than settleTime after that.
+	// maxCrashes is how many runners may exit under a request before it is stopped,
+	// maxLateRuns how many times it may still run at runners later than settleTime after
+	// that.
 	maxCrashes  = 3
 	maxLateRuns = 3
 	settleTime  = 3 * time.Second
-	// backAfter is how long a runner that has ended stays away.
+	// runnerRestartDelay is the time from the exit of a runner to the start of its
+	// replacement.
 	runnerRestartDelay = 3 * time.Second
-	// returnGap is the time between a caller's attempts.
+	// callerRetryInterval is the time between two sends of a request by its caller.
 	callerRetryInterval = 150 * time.Millisecond
-	// crashRunners are twice as many as two fatal requests end before they are known: three
-	// attempts at three daemons at once, each of which goes on at a second runner. What is
-	// left serves the others.
+	// crashingRunnerCount is twice the number of runners that two fatal requests can end
+	// before they are recognised: three attempts at three daemons at once, each of which
+	// goes on at a second runner. The remaining runners serve the other requests.
 	crashingRunnerCount = 24
-	// harmlessCallers at each daemon send a harmless request again and again.
+	// harmlessCallersPerDaemon is the number of callers at each daemon that send a harmless
+	// request again and again.
 	harmlessCallersPerDaemon = 3
-	// servedShare is the least share of harmless requests that are served beside fatal
-	// ones, in per cent.
+	// minServedPercent is the least percentage of harmless requests that must be served
+	// while fatal ones are sent.
 	minServedPercent = 95
 )
 
-// crashes are runners that end under fatal requests and are back a moment later, each
-// under a new id.
+// crashingRunners are runners that exit under fatal requests. Each is replaced
+// runnerRestartDelay later by one with a new id.
 type crashingRunners struct {
 	c          *fleetCluster
 	spec       runner.Spec
 	mu         sync.Mutex
 	all        []*runner.Server
 	crashTimes []time.Time
-	testEnded  bool // the test has ended: no runner comes back
+	testEnded  bool // no runner is replaced any more
 }
 
-// startCrashes puts n such runners in the place of the cluster's.
+// startCrashingRunners replaces the cluster's runners of the service with n runners that
+// exit under fatal requests.
 func (c *fleetCluster) startCrashingRunners(n int, spec runner.Spec) *crashingRunners {
 	c.t.Helper()
 	crashing := &crashingRunners{c: c, spec: spec}
@@ -76,7 +81,7 @@
 	return crashing
 }
 
-// start brings one more runner up; the caller holds the lock, if others can know k.
+// add starts one more runner. The caller holds mu once other goroutines can use crashing.
 func (crashing *crashingRunners) add() {
 	spec := crashing.spec
 	spec.ID, spec.Place = fmt.Sprintf("i-%s-crash-%d", spec.Service, len(crashing.all)+1), []string{"north", "south"}[len(crashing.all)%2]
@@ -88,7 +93,7 @@
 	crashing.all = append(crashing.all, r)
 }
 
-// end replaces a runner that has ended.
+// crashed records the exit of a runner and schedules its replacement.
 func (crashing *crashingRunners) crashed(r *runner.Server) {
 	crashing.mu.Lock()
 	defer crashing.mu.Unlock()
@@ -96,6 +101,8 @@
 	time.AfterFunc(runnerRestartDelay, func() { crashing.replace(r) })
 }
 
+// replace starts a new runner once the old one is deleted from the store, and tries again
+// after runnerRestartDelay while the store is unavailable.
 func (crashing *crashingRunners) replace(r *runner.Server) {
 	crashing.mu.Lock()
 	defer crashing.mu.Unlock()
@@ -103,7 +110,7 @@
 		return
 	}
 	if !crashing.c.deleteObject(wire.KindRunners, r.ID) {
-		time.AfterFunc(runnerRestartDelay, func() { crashing.replace(r) }) // the store is away
+		time.AfterFunc(runnerRestartDelay, func() { crashing.replace(r) }) // the store is unavailable
 		return
 	}
 	crashing.add()
@@ -115,7 +122,7 @@
 	return len(crashing.crashTimes)
 }
 
-// arrivals are the times at which requests of a body have begun to run.
+// runTimes returns the times at which requests with a body began to run, in order.
 func (crashing *crashingRunners) runTimes(body string) []time.Time {
 	crashing.mu.Lock()
 	defer crashing.mu.Unlock()
@@ -131,7 +138,8 @@
 	return out
 }
 
-// late counts the runs of a body later than settleTime after enough runners ended.
+// lateRuns counts the runs of a body that began more than settleTime after its
+// maxCrashes-th run began.
 func (crashing *crashingRunners) lateRuns(body string) int {
 	at := crashing.runTimes(body)
 	if len(at) <= maxCrashes {
@@ -141,23 +149,25 @@
 	return len(at) - slices.IndexFunc(append(at, settled.Add(time.Hour)), func(t time.Time) bool { return t.After(settled) })
 }
 
-// attempt is a caller's request.
+// callerRequest is a request that a caller sends again and again.
 type callerRequest struct {
 	path, body, model string
-	sourceAddresses   byte // from which its caller sends it, one if it is 0
+	sourceAddresses   byte // number of addresses that its caller sends from; 0 means one
 }
 
-// repeat sends requests again and again, each to a daemon drawn at random, for a time.
+// sendRepeatedly sends each request every callerRetryInterval to a daemon drawn at random,
+// for a duration.
 func (c *fleetCluster) sendRepeatedly(duration time.Duration, list ...callerRequest) {
 	for end := time.Now().Add(duration); time.Now().Before(end); time.Sleep(callerRetryInterval) {
 		for _, a := range list {
 			from := net.IPv4(127, 0, 0, 1+rand.N(max(1, a.sourceAddresses)))
-			go func() { _, _, _ = c.daemons[rand.N(len(c.daemons))].sendFrom(from, a.path, a.body, a.model) }() // whatever it is told
+			go func() { _, _, _ = c.daemons[rand.N(len(c.daemons))].sendFrom(from, a.path, a.body, a.model) }() // any outcome is allowed
 		}
 	}
 }
 
-// awaitServed waits until each daemon knows the runners that serve a request.
+// awaitServed waits until each daemon serves a request, that is, until each has found the
+// runners for it.
 func (c *fleetCluster) awaitServed(a callerRequest) {
 	c.t.Helper()
 	for _, d := range c.daemons {
@@ -171,12 +181,12 @@
 	}
 }
 
-// served counts what callers of a harmless request got.
+// callStats counts the outcomes of a harmless request.
 type callStats struct {
 	mu     sync.Mutex
 	total  int
 	ok     int
-	failed map[string]int // by what was told
+	failed map[string]int // by status, error and start of the body
 }
 
 func (s *callStats) add(status int, body string, err error) {
@@ -190,8 +200,8 @@
 	s.failed[fmt.Sprintf("%d %v %.60s", status, err, body)]++
 }
 
-// repeatHarmless sends a harmless request again and again, at each daemon, until stop is
-// called, which waits.
+// startHarmlessCallers sends a harmless request again and again at each daemon until stop
+// is called. Stop waits for the requests in progress.
 func (c *fleetCluster) startHarmlessCallers(a callerRequest) (s *callStats, stop func()) {
 	s = &callStats{failed: map[string]int{}}
 	done := make(chan struct{})
@@ -221,18 +231,23 @@
 	plainRunner = runner.Spec{Service: "app", Slots: 8, Gap: 800 * time.Millisecond, FatalAfter: 70 * time.Millisecond}
 )
 
+// crashLate returns a spec whose runners exit 400 ms after a fatal request begins to run.
 func crashLate(s runner.Spec) runner.Spec {
 	s.FatalAfter = 400 * time.Millisecond
 	return s
 }
 
-// A caller's request ends each runner that begins to run it, and with it all that runs
-// there. It comes again under new ids, at any daemon. Each daemon took each attempt for a
-// new request and sent it on, and soon all runners of the service were gone. Nothing
-// connected the attempts: who asked for what was forgotten when an attempt ended, and no
-// daemon heard of what had happened at another. With logs that name a digest of path and
-// body, one digest stood at each end, and only that one at all. Its caller has many
-// addresses: with the address in the digest each attempt was new again.
+// TestRequestThatEndsRunnersIsStopped guards against one request taking down all runners of
+// a service. Each runner that begins to run it exits, and all other requests on that runner
+// fail. Its caller sends it again under new ids, to any daemon. Daemons used to treat each
+// of these as a new request and send it on, and soon all runners of the service were gone.
+// Nothing connected the requests: a daemon forgot who had requested what when its attempt
+// ended, and received no report of exits that its peers had seen.
+//
+// Once the logs contained a digest of path and body, the same digest stood at each exit,
+// and no other digest did. The caller's address must not be part of the digest: the caller
+// has many addresses, and with the address in the digest each of its requests was new
+// again.
 func TestRequestThatEndsRunnersIsStopped(t *testing.T) {
 	for _, tt := range []struct {
 		name     string
@@ -240,13 +255,13 @@
 		fatal    []callerRequest
 		harmless callerRequest
 	}{
-		{"a stream", modelRunner, []callerRequest{{path: "/gen/x", body: fatalBody, model: "m1"}}, callerRequest{path: "/gen/x", body: "harmless", model: "m1"}},
-		{"a slow one", crashLate(modelRunner), []callerRequest{{path: "/gen/x", body: fatalBody, model: "m1"}}, callerRequest{path: "/gen/x", body: "harmless", model: "m1"}},
-		{"from many addresses", modelRunner, []callerRequest{{path: "/gen/x", body: fatalBody, model: "m1", sourceAddresses: 200}}, callerRequest{path: "/gen/x", body: "harmless", model: "m1"}},
-		{"two", modelRunner, []callerRequest{{path: "/gen/x", body: fatalBody, model: "m1"}, {path: "/gen/y", body: fatalBody + "2", model: "m2"}}, callerRequest{path: "/gen/x", body: "harmless", model: "m1"}},
-		{"an adapter's", modelRunner, []callerRequest{{path: "/gen/x", body: fatalBody, model: "m1/a1"}}, callerRequest{path: "/gen/x", body: "harmless", model: "m1"}},
-		{"one that may not be repeated", plainRunner, []callerRequest{{path: "/order/x", body: fatalBody, model: ""}}, callerRequest{path: "/order/x", body: "harmless", model: ""}},
-		{"a slow one that may be repeated", crashLate(plainRunner), []callerRequest{{path: "/ask/x", body: fatalBody, model: ""}}, callerRequest{path: "/ask/x", body: "harmless", model: ""}},
+		{"stream", modelRunner, []callerRequest{{path: "/gen/x", body: fatalBody, model: "m1"}}, callerRequest{path: "/gen/x", body: "harmless", model: "m1"}},
+		{"stream, late crash", crashLate(modelRunner), []callerRequest{{path: "/gen/x", body: fatalBody, model: "m1"}}, callerRequest{path: "/gen/x", body: "harmless", model: "m1"}},
+		{"many caller addresses", modelRunner, []callerRequest{{path: "/gen/x", body: fatalBody, model: "m1", sourceAddresses: 200}}, callerRequest{path: "/gen/x", body: "harmless", model: "m1"}},
+		{"two requests", modelRunner, []callerRequest{{path: "/gen/x", body: fatalBody, model: "m1"}, {path: "/gen/y", body: fatalBody + "2", model: "m2"}}, callerRequest{path: "/gen/x", body: "harmless", model: "m1"}},
+		{"adapter", modelRunner, []callerRequest{{path: "/gen/x", body: fatalBody, model: "m1/a1"}}, callerRequest{path: "/gen/x", body: "harmless", model: "m1"}},
+		{"not repeatable", plainRunner, []callerRequest{{path: "/order/x", body: fatalBody, model: ""}}, callerRequest{path: "/order/x", body: "harmless", model: ""}},
+		{"repeatable, late crash", crashLate(plainRunner), []callerRequest{{path: "/ask/x", body: fatalBody, model: ""}}, callerRequest{path: "/ask/x", body: "harmless", model: ""}},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
 			t.Parallel()
@@ -260,17 +275,18 @@
 			stop()
 			for _, a := range tt.fatal {
 				late := crashing.lateRuns(a.body)
-				t.Logf("%s: %d runs, %d of them late; %d runners ended; harmless %d of %d, lost %v", a.body, len(crashing.runTimes(a.body)), late, crashing.crashCount(), got.ok, got.total, got.failed)
-				assert.Check(t, late <= maxLateRuns, "%s: %d more runs, %d runners ended in all", a.body, late, crashing.crashCount())
+				t.Logf("%s: %d runs, %d of them late; %d runners exited; harmless requests served: %d of %d, failed: %v", a.body, len(crashing.runTimes(a.body)), late, crashing.crashCount(), got.ok, got.total, got.failed)
+				assert.Check(t, late <= maxLateRuns, "%s: %d late runs, %d runners exited in all", a.body, late, crashing.crashCount())
 			}
-			assert.Check(t, got.ok*100 >= minServedPercent*got.total, "harmless: %d of %d", got.ok, got.total)
+			assert.Check(t, got.ok*100 >= minServedPercent*got.total, "harmless requests served: %d of %d", got.ok, got.total)
 		})
 	}
 }
 
-// A request is held back; then all daemons are killed, and are back without what they
-// knew. The next daemons must know it from the platform's store, and one that starts
-// while the store is away from the others.
+// TestHeldRequestOutlivesDaemons guards against losing holds when all daemons are killed
+// while a request is held back. Restarted daemons must read the hold from the platform's
+// store, and a daemon that starts while the store is unavailable must get it from its
+// peers.
 func TestHeldRequestOutlivesDaemons(t *testing.T) {
 	c := startFleet(t, 3)
 	crashing := c.startCrashingRunners(6, modelRunner)
@@ -283,7 +299,7 @@
 	}
 	poll.WaitOn(t, func(poll.LogT) poll.Result {
 		if !held() {
-			return poll.Continue("not kept")
+			return poll.Continue("no request is held yet")
 		}
 		return poll.Success()
 	}, poll.WithTimeout(20*time.Second))
@@ -298,7 +314,7 @@
 	time.Sleep(settleTime)
 	before := len(crashing.runTimes(fatalBody))
 	c.sendRepeatedly(2*time.Second, a)
-	assert.Check(t, len(crashing.runTimes(fatalBody))-before <= 1, "%d more runs after a loss of all daemons", len(crashing.runTimes(fatalBody))-before)
+	assert.Check(t, len(crashing.runTimes(fatalBody))-before <= 1, "%d more runs after all daemons were killed", len(crashing.runTimes(fatalBody))-before)
 	c.store.SetFaults(platform.Faults{Down: true})
 	c.daemons[2].restart(c)
 	c.awaitReadyStatus(c.daemons[2], http.StatusOK)
@@ -314,9 +330,10 @@
 	c.store.SetFaults(platform.Faults{})
 }
 
-// The service that ended under a request has been repaired. An operator sees what is held
-// back and releases it, in the platform's store where daemons take no edits, and it is
-// served at all daemons.
+// TestOperatorReleasesHeldRequest checks that an operator sees a held request and can
+// release it once the service that exited under it has been repaired. The release is
+// written to the platform's store, because daemons accept no edits here, and it must take
+// effect at all daemons.
 func TestOperatorReleasesHeldRequest(t *testing.T) {
 	c := startFleet(t, 2)
 	crashing := c.startCrashingRunners(5, modelRunner)
@@ -351,7 +368,8 @@
 	}
 }
 
-// removed deletes an object as the platform does, and says whether the store did so.
+// deleteObject deletes an object as the platform does, and reports whether the store
+// accepted it.
 func (c *fleetCluster) deleteObject(kind, name string) bool {
 	return callJSON(adminClient, http.MethodDelete, "http://"+c.addr+wire.PathObjects+kind+"/"+name, nil, nil) < http.StatusMultipleChoices
 }
--- a/proof/fleet_cluster_test.go
+++ b/proof/fleet_cluster_test.go
@@ -25,7 +25,8 @@
 	"primroseward/standin/runner"
 )
 
-// fleetCluster is daemons of the platform's kind with its store and runners.
+// fleetCluster is a set of daemons that serve through the platform, with the platform's
+// store and the runners.
 type fleetCluster struct {
 	t       *testing.T
 	store   *platform.Server
@@ -43,7 +44,8 @@
 
 const gracePeriod = 4 * time.Second
 
-// startFleet brings up the store, two runners of each service and n daemons.
+// startFleet starts the store, two runners of each service and n daemons, and waits until
+// the daemons are ready.
 func startFleet(t *testing.T, n int) *fleetCluster {
 	t.Helper()
 	c := &fleetCluster{t: t, store: platform.New()}
@@ -134,7 +136,7 @@
 	return d
 }
 
-// run starts the process.
+// run starts the process and appends its output to the log file.
 func (d *fleetDaemon) run(c *fleetCluster) {
 	c.t.Helper()
 	out, err := os.OpenFile(d.log, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
@@ -153,6 +155,7 @@
 	d.run(c)
 }
 
+// awaitReadyStatus waits until the readiness check of a daemon answers with a status.
 func (c *fleetCluster) awaitReadyStatus(d *fleetDaemon, status int) {
 	c.t.Helper()
 	poll.WaitOn(c.t, func(poll.LogT) poll.Result {
@@ -168,7 +171,7 @@
 	}, poll.WithTimeout(20*time.Second))
 }
 
-// addresses asks a daemon's directory.
+// directoryAddresses returns the addresses that a daemon's directory answers with.
 func (c *fleetCluster) directoryAddresses(d *fleetDaemon) []string {
 	c.t.Helper()
 	resp, err := http.Get("http://" + d.directoryAddr + wire.PathDirectory + "?name=h.example&region=r&zone=north")
@@ -186,15 +189,15 @@
 	return got.Addresses
 }
 
-// fleetSerial numbers the requests of callers.
+// requestSerial numbers the requests of callers, so that each has an id of its own.
 var requestSerial atomic.Int64
 
-// send makes one request of a caller on a connection of its own.
+// send makes one request on a new connection.
 func (d *fleetDaemon) send(path, body, model string, header ...string) (int, string, error) {
 	return d.sendFrom(net.IPv4(127, 0, 0, 1), path, body, model, header...)
 }
 
-// sendFrom makes one request from one of its caller's addresses.
+// sendFrom makes one request on a new connection from one of its caller's addresses.
 func (d *fleetDaemon) sendFrom(from net.IP, path, body, model string, header ...string) (int, string, error) {
 	serial := requestSerial.Add(1)
 	dialer := net.Dialer{LocalAddr: &net.TCPAddr{IP: from}}
@@ -223,6 +226,7 @@
 	return resp.StatusCode, string(data), err
 }
 
+// fullStream returns the events of a complete stream of n events.
 func fullStream(n int) string {
 	var b strings.Builder
 	for i := 1; i <= n; i++ {
@@ -231,6 +235,7 @@
 	return b.String()
 }
 
+// runsOf counts the runs at all runners of a service.
 func (c *fleetCluster) runsOf(service string) int {
 	n := 0
 	for _, r := range c.runners {
@@ -241,13 +246,13 @@
 	return n
 }
 
-// ctl runs primrosectl against the store and a daemon, and returns what it
-// printed and its exit code.
+// primrosectl runs the command against the store and a daemon, and returns its output and
+// exit code.
 func (c *fleetCluster) primrosectl(d *fleetDaemon, stdin string, args ...string) (string, int) {
 	c.t.Helper()
 	all := append([]string{"--store", c.addr, "--admin", d.adminAddr, "--by", "nino"}, args...)
 	cmd := exec.Command(buildPrimrosectl(c.t), all...)
 	cmd.Stdin = strings.NewReader(stdin)
-	out, _ := cmd.CombinedOutput() // the exit code tells
+	out, _ := cmd.CombinedOutput() // the exit code is returned instead of the error
 	return string(out), cmd.ProcessState.ExitCode()
 }
--- a/proof/fleet_test.go
+++ b/proof/fleet_test.go
@@ -18,9 +18,9 @@
 	"primroseward/standin/platform"
 )
 
-// The whole path through the platform: callers find daemons, daemons find
-// runners, requests and streams come back unchanged, and refusals are told
-// apart from routes that do not exist.
+// TestFleetServes checks the whole path through the platform: callers find daemons in the
+// directory, daemons find runners, requests and streams come back unchanged, and unknown
+// routes are answered with 404, unlike refusals.
 func TestFleetServes(t *testing.T) {
 	c := startFleet(t, 2)
 	d := c.daemons[0]
@@ -33,7 +33,7 @@
 	status, body, err := d.send("/order/a%2Fb?x=1", "belt", "")
 	assert.NilError(t, err)
 	assert.Equal(t, status, http.StatusOK)
-	assert.Equal(t, body, "i-app-1 /order/a%2Fb?x=1 belt", "served in its own place")
+	assert.Equal(t, body, "i-app-1 /order/a%2Fb?x=1 belt", "served in the daemon's own data centre")
 	status, body, err = d.send("/gen/x", "", "m2")
 	assert.NilError(t, err)
 	assert.Equal(t, status, http.StatusOK)
@@ -57,8 +57,9 @@
 	})
 }
 
-// An adapter and a model that no runner has are fetched because they are asked
-// for, and the request for the adapter is served.
+// TestFleetLoadsModelsAndAdaptersOnDemand checks that an adapter and a model that no runner
+// has are loaded because there are requests for them, and that the request for the adapter
+// is served.
 func TestFleetLoadsModelsAndAdaptersOnDemand(t *testing.T) {
 	c := startFleet(t, 2)
 	poll.WaitOn(t, func(poll.LogT) poll.Result {
@@ -72,8 +73,9 @@
 	assert.Assert(t, c.runners[0].Holds("m1", "a3") || c.runners[1].Holds("m1", "a3"))
 }
 
-// A stream that its runner breaks off goes on at another one, with each event
-// once; an order that a runner may have carried out is not sent again.
+// TestFleetRunnerFails checks that a stream that its runner cuts continues at another
+// runner, with each event once, and that an order that a runner may have carried out is not
+// sent again.
 func TestFleetRunnerFails(t *testing.T) {
 	c := startFleet(t, 1)
 	d := c.daemons[0]
@@ -99,7 +101,8 @@
 	}
 }
 
-// A runner that reports that it leaves gets no work a moment later.
+// TestFleetRunnerDrains checks that a runner that reports that it is leaving gets no new
+// requests one second later.
 func TestFleetRunnerDrains(t *testing.T) {
 	c := startFleet(t, 1)
 	d := c.daemons[0]
@@ -114,8 +117,9 @@
 	assert.Equal(t, len(c.runners[2].Runs()), before)
 }
 
-// A configuration is in force at all daemons a moment after it was stored; one
-// that does not reach the store keeps serving what it knows.
+// TestFleetConfigAndOutage checks that a configuration is in force at all daemons a moment
+// after it was stored, and that a daemon that cannot reach the store goes on serving with
+// the configuration that it has.
 func TestFleetConfigAndOutage(t *testing.T) {
 	c := startFleet(t, 2)
 	c.put(wire.KindConfig, wire.NameConfig, fleetConfig(2, "/new/"))
@@ -140,8 +144,9 @@
 	c.store.SetFaults(platform.Faults{})
 }
 
-// A planned stop cuts nothing: the stream in progress ends whole, the directory
-// stops handing out the daemon, and new requests find another.
+// TestFleetStopsGracefully checks that a planned stop cuts nothing: the stream in progress
+// ends complete, the directory no longer returns the stopping daemon, and new requests are
+// served by another one.
 func TestFleetStopsGracefully(t *testing.T) {
 	c := startFleet(t, 2)
 	leaving, staying := c.daemons[0], c.daemons[1]
@@ -181,8 +186,9 @@
 	assert.Equal(t, status, http.StatusOK)
 }
 
-// The settings file changes, and a process that is told so is gone. It reads the
-// file, keeps what it has where the file has faults, and goes on serving.
+// TestFleetReloads guards against a daemon that exits on SIGHUP after its settings file has
+// changed. It must read the file again, keep the settings in force if the file has faults,
+// and go on serving.
 func TestFleetReloads(t *testing.T) {
 	c := startFleet(t, 1)
 	d := c.daemons[0]
@@ -209,11 +215,12 @@
 	assert.Equal(t, status, http.StatusOK)
 }
 
-// Regulated data is served in a place that operators have taken away, because the
-// platform's configuration knows no places. Operators narrow a service in the
-// settings tree, in the store as on this platform nobody calls a daemon to edit;
-// from then on no request of any kind is served elsewhere: not after a restart, not
-// during an outage of the store, not by a daemon that knows no settings yet.
+// TestFleetKeepsToTheSettingsTree guards against regulated data being served in a data
+// centre that operators have excluded, because the platform's configuration has no data
+// centres. Operators narrow a service in the settings tree, by a write to the store, as on
+// this platform daemons accept no edits. From then on no request of any kind may be served
+// elsewhere: not after a restart, not during an outage of the store, not by a daemon that
+// has no settings yet.
 func TestFleetKeepsToTheSettingsTree(t *testing.T) {
 	c := startFleet(t, 3)
 	out, code := c.primrosectl(c.daemons[0], `{"set":{"places":["south"]}}`, "tree", "set", "/service/app", "-f", "-", "--wait", "20s")
@@ -245,14 +252,15 @@
 	onlySouth()
 	c.store.SetFaults(platform.Faults{Down: true})
 	c.daemons[2].restart(c)
-	c.awaitReadyStatus(c.daemons[2], http.StatusOK) // by another daemon's copies
+	c.awaitReadyStatus(c.daemons[2], http.StatusOK) // with snapshots of other daemons
 	onlySouth()
 	c.store.SetFaults(platform.Faults{})
 }
 
-// A model that may be served in one place only is gone with the place's only copy,
-// and operators' narrowing makes it unreachable: it must be loaded where requests
-// for it may be served.
+// TestFleetLoadsWhereRequestsMayBeServed guards against a model that cannot be served any
+// more after operators have narrowed it to a data centre without a replica, or after the
+// only replica in its data centre is lost. It must be loaded where requests for it may be
+// served.
 func TestFleetLoadsWhereRequestsMayBeServed(t *testing.T) {
 	c := startFleet(t, 2)
 	out, code := c.primrosectl(c.daemons[0], `{"set":{"places":["north"]}}`, "tree", "set", "/service/gen/model/m2", "-f", "-", "--wait", "20s")
--- a/proof/inputs_test.go
+++ b/proof/inputs_test.go
@@ -13,8 +13,9 @@
 	"primroseward/state/tree"
 )
 
-// What all daemons read ends all of them if it ends one: a configuration, a branch of the
-// settings tree, a message that one of them passes on.
+// The fuzz tests guard against input that makes a daemon exit. All daemons read the same
+// input, so whatever ends one ends all of them: a configuration, a branch of the settings
+// tree, a message that a daemon passes on.
 
 func FuzzConfigEndsNoDaemon(f *testing.F) {
 	f.Add([]byte(`{"version":2,"routes":[{"name":"r","host":"h","path_prefix":"/a/","kind":"streaming","service":"s","timeout_ms":100,
@@ -63,7 +64,7 @@
 	f.Fuzz(func(_ *testing.T, data []byte) {
 		hub := roster.New(now, roster.Daemon{Name: "a", Place: "p"})
 		hub.Know(now, roster.Daemon{Name: "b", Place: "p"})
-		_, _, _ = hub.Take(now, data) // whatever it makes of it
+		_, _, _ = hub.Take(now, data) // only a panic is a failure
 		hub.Tick(now.Add(time.Second), roster.Word{})
 		if got, err := hold.Told(data, now); err == nil {
 			hold.NewTable().Merge(*got)
--- a/proof/life_test.go
+++ b/proof/life_test.go
@@ -23,15 +23,15 @@
 	killPause = 3 * time.Second
 )
 
-// lifeMachine drives one cluster with requests and faults and remembers what
-// each caller was told.
+// faultMachine sends requests to one cluster, injects faults and records the answer to each
+// caller.
 type faultMachine struct {
 	c         *cluster
 	mu        sync.Mutex
-	keyBase   int64 // keeps the keys of sequences apart
+	keyBase   int64 // makes the keys of each rapid sequence unique
 	n         int
 	answers   map[string][]reply // by order path
-	sent      map[string]int     // calls made, the ones without a reply too
+	sent      map[string]int     // requests by order path, including those without an answer
 	errs      []string
 	suspended *daemon
 	lastKill  time.Time
@@ -52,8 +52,8 @@
 	m.errs = append(m.errs, fmt.Sprintf(format, args...))
 }
 
-// chat asks for a repeatable answer. What comes back as whole must be the
-// right one; an error is allowed, for the caller can ask again.
+// chat sends a repeatable request. A complete answer must be the right one; an error is
+// allowed, since the caller can send the request again.
 func (m *faultMachine) chat(d *daemon, stream bool) {
 	defer m.wg.Done()
 	prompt := fmt.Sprintf("life %d-%d", m.keyBase, m.next())
@@ -66,7 +66,7 @@
 	}
 }
 
-// order sends an order that may not be repeated.
+// order sends an order that is not repeatable, with an idempotency key if key is not empty.
 func (m *faultMachine) order(d *daemon, path, key string) {
 	defer m.wg.Done()
 	m.mu.Lock()
@@ -130,7 +130,7 @@
 		"kill": func(t *rapid.T) {
 			d := entry(t)
 			if time.Since(m.lastKill) < killPause {
-				t.Skip("let the last one come back")
+				t.Skip("the last killed daemon may still be starting")
 			}
 			m.lastKill = time.Now()
 			if d == m.suspended {
@@ -141,14 +141,14 @@
 		},
 		"freeze": func(t *rapid.T) {
 			if m.suspended != nil {
-				t.Skip("one is frozen")
+				t.Skip("a daemon is suspended already")
 			}
 			m.suspended = entry(t)
 			m.suspended.signal(syscall.SIGSTOP)
 		},
 		"thaw": func(t *rapid.T) {
 			if m.suspended == nil {
-				t.Skip("none is frozen")
+				t.Skip("no daemon is suspended")
 			}
 			m.suspended.signal(syscall.SIGCONT)
 			m.suspended = nil
@@ -159,7 +159,7 @@
 	}
 }
 
-// heal ends all faults and waits for the callers.
+// clearFaults ends all faults and waits for the callers.
 func (m *faultMachine) clearFaults() {
 	if m.suspended != nil {
 		m.suspended.signal(syscall.SIGCONT)
@@ -171,7 +171,7 @@
 	m.wg.Wait()
 }
 
-// check compares what callers were told with what the service has run.
+// checkOrders compares the answers to callers with what the service has run.
 func (m *faultMachine) checkOrders(t *rapid.T) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -187,30 +187,30 @@
 		refused := 0
 		for _, r := range replies {
 			if r.status == http.StatusOK && runs != 1 {
-				t.Errorf("%s was answered and ran %d times", path, runs)
+				t.Errorf("%s was answered with 200 but ran %d times", path, runs)
 			}
 			if r.outcome == "not_run" {
 				refused++
 			}
 		}
 		if refused == len(replies) && m.sent[path] == len(replies) && runs > 0 {
-			t.Errorf("%s was refused as not run and ran", path)
+			t.Errorf("%s was refused as not run but ran", path)
 		}
 	}
 }
 
-// tally counts what callers were told.
+// countAnswers counts answers by status and code.
 func (m *faultMachine) countAnswers(replies []reply) {
 	for _, r := range replies {
 		m.counts[fmt.Sprintf("%d %s", r.status, r.code)]++
 	}
 }
 
-// Callers are told what is not so when faults come together: daemons die,
-// stand still and return, the platform is down or loses answers, endpoints cut
-// and cross answers, and the same keys are sent through several entries. In
-// every order of events a whole answer is the right one, no order runs twice,
-// and what was refused as not run has not run.
+// TestLifeOfRequests guards against false answers to callers when faults coincide: daemons
+// are killed, suspended and resumed, the platform is down or loses answers, endpoints cut
+// and cross answers, and the same keys are sent through several entries. In every order of
+// events a complete answer is the right one, no order runs twice, and an order that was
+// refused as not run has not run.
 func TestLifeOfRequests(t *testing.T) {
 	outer := t
 	fuzz.Fix(7, 3, 200)
--- a/proof/limits_test.go
+++ b/proof/limits_test.go
@@ -19,14 +19,16 @@
 	"primroseward/standin/service"
 )
 
-// limitSpan is the span over which arrivals at a limited runner are counted, limitSettle
-// the time from its first naming a limit until the count begins.
+// limitWindow is the window over which arrivals at a limited runner are counted,
+// limitSettleTime the time from the first answer in which it names a limit until counting
+// begins.
 const (
 	limitWindow     = 4 * time.Second
 	limitSettleTime = 3 * time.Second
 )
 
-// mostWithin is the most of some times that lie within a span, from a time on.
+// maxInWindow returns the largest number of times within any window of length span, leaving
+// out times before from.
 func maxInWindow(times []time.Time, from time.Time, span time.Duration) int {
 	peak, first := 0, 0
 	for i, at := range times {
@@ -42,8 +44,8 @@
 	return peak
 }
 
-// press has callers at random daemons send a request every pause, and returns the
-// statuses that they got.
+// sendAtInterval sends a request to a random daemon every interval for a duration, and
+// returns how often each status was answered.
 func (c *fleetCluster) sendAtInterval(interval, duration time.Duration) map[int]int {
 	c.t.Helper()
 	var mu sync.Mutex
@@ -65,7 +67,7 @@
 	return got
 }
 
-// addRunners starts more plain runners.
+// addRunners starts more runners of service app.
 func (c *fleetCluster) addRunners(ids ...string) {
 	c.t.Helper()
 	for _, id := range ids {
@@ -75,8 +77,9 @@
 	}
 }
 
-// A runner names the requests a second that it takes, and each daemon goes on sending as
-// if it were alone, or had not read it.
+// TestDaemonsTogetherKeepARunnersLimit guards against exceeding the limit of a runner, in
+// requests per second, when each daemon goes on sending as if it were the only one, or as
+// if it had not read the limit.
 func TestDaemonsTogetherKeepARunnersLimit(t *testing.T) {
 	const rate = 2.0
 	c := startFleet(t, 6)
@@ -90,11 +93,11 @@
 	allowed := int(1.5*rate*limitWindow.Seconds() + 5)
 	t.Logf("%d arrivals, at most %d in %v where %d are allowed; answers: %v", len(arrived), peak, limitWindow, allowed, got)
 	assert.Assert(t, peak <= allowed, "%d arrivals in %v, allowed %d", peak, limitWindow, allowed)
-	assert.Equal(t, len(got), 1, "requests were not served while other runners had room: %v", got)
+	assert.Equal(t, len(got), 1, "requests were not served while other runners had free slots: %v", got)
 	assert.Assert(t, got[http.StatusOK] > 0)
 }
 
-// answer is what a caller gets from a daemon.
+// post sends one request to a daemon and returns the answer, its body read and discarded.
 func (d *fleetDaemon) post(t *testing.T, path string) *http.Response {
 	t.Helper()
 	q, err := http.NewRequest(http.MethodPost, "http://"+d.callerAddr+path, nil)
@@ -110,8 +113,9 @@
 	return resp
 }
 
-// Where all runners are limited callers get no answer until their deadline, or none that
-// tells when to come back; what the runners would take stays unused.
+// TestLimitedRunnersAreUsedFullyAndExcessIsRefusedAtOnce guards against two faults when all
+// runners are limited: callers get no answer before their deadline, or a refusal that does
+// not say when to come back; and runners get fewer requests than their limits allow.
 func TestLimitedRunnersAreUsedFullyAndExcessIsRefusedAtOnce(t *testing.T) {
 	const rate = 6.0
 	c := startFleet(t, 3)
@@ -131,7 +135,7 @@
 			switch resp.StatusCode {
 			case http.StatusOK:
 				served++
-				assert.Check(t, resp.Header.Get(wire.HeaderLimit) == "6", "the limit is not in the answer as the runner wrote it")
+				assert.Check(t, resp.Header.Get(wire.HeaderLimit) == "6", "the answer does not carry the runner's limit unchanged")
 			case http.StatusServiceUnavailable:
 				refused++
 				after, err := strconv.ParseFloat(resp.Header.Get("Retry-After"), 64)
@@ -152,7 +156,8 @@
 	assert.Assert(t, float64(served) >= 0.8*2*rate*(took-limitSettleTime).Seconds(), "%d served", served)
 }
 
-// A runner that names no limit any more is still left out.
+// TestRunnerIsUsedFullyOnceItNamesNoLimit guards against leaving out a runner that no
+// longer names a limit.
 func TestRunnerIsUsedFullyOnceItNamesNoLimit(t *testing.T) {
 	c := startFleet(t, 3)
 	for _, r := range c.runners[2:] {
@@ -162,7 +167,8 @@
 	for _, r := range c.runners[2:] {
 		r.SetLimit()
 	}
-	// What is let through now and then tells that the limit has ended.
+	// Daemons see that the limit has ended in the answers to the few requests that they
+	// still send.
 	poll.WaitOn(t, func(poll.LogT) poll.Result {
 		if got := c.sendAtInterval(20*time.Millisecond, time.Second); len(got) > 1 || got[http.StatusOK] == 0 {
 			return poll.Continue("%v", got)
@@ -171,8 +177,8 @@
 	}, poll.WithTimeout(30*time.Second))
 }
 
-// An endpoint of the own interface names the requests a second that it takes, and gets all
-// that come.
+// TestOwnerKeepsAnEndpointsLimit guards against an endpoint of the native interface that
+// names a limit, in requests per second, and still gets all requests that come.
 func TestOwnerKeepsAnEndpointsLimit(t *testing.T) {
 	const rate = 2.0
 	s := defaultSpec()
@@ -198,10 +204,11 @@
 	runs := len(limited.Runs())
 	t.Logf("%d runs at the limited endpoint, answers %v", runs, got)
 	assert.Assert(t, float64(runs) <= 1.5*rate*(limitSettleTime+limitWindow).Seconds()+5, "%d runs", runs)
-	assert.Assert(t, runs > 0 && len(got) == 1, "requests were not served while another endpoint had room: %v", got)
+	assert.Assert(t, runs > 0 && len(got) == 1, "requests were not served while another endpoint had free slots: %v", got)
 }
 
-// Operators can't tell why a runner is left out.
+// TestLimitsAreShownToOperators guards against limits that operators cannot see: they could
+// not find out why a runner is left out.
 func TestLimitsAreShownToOperators(t *testing.T) {
 	c := startFleet(t, 2)
 	c.runners[2].SetLimit("6")
--- a/proof/mortal_test.go
+++ b/proof/mortal_test.go
@@ -18,19 +18,19 @@
 	"primroseward/state/tree"
 )
 
-// mortal is an endpoint whose process ends under a fatal request, with all of its
-// connections, and is back at its address a moment later.
+// crashingEndpoint is an endpoint whose process exits under a fatal request, which closes
+// all its connections, and starts again at its address endpointRestartDelay later.
 type crashingEndpoint struct {
 	http.Handler
 	addr string
 
 	mu        sync.Mutex
 	srv       *http.Server
-	fatalRuns int // of fatal requests
+	fatalRuns int // runs of fatal requests
 	testEnded bool
 }
 
-// mortalBack is how long an endpoint stays away.
+// endpointRestartDelay is the time from the exit of an endpoint to its restart.
 const endpointRestartDelay = 300 * time.Millisecond
 
 func newCrashingEndpoint(t *testing.T, h http.Handler) *crashingEndpoint {
@@ -51,14 +51,14 @@
 	defer m.mu.Unlock()
 	ln, err := net.Listen("tcp", m.addr)
 	if m.testEnded || err != nil {
-		return // the test has ended, or its daemons find the endpoint away
+		return // the test has ended, or the address is taken and the endpoint stays unreachable
 	}
 	m.srv = &http.Server{Handler: http.HandlerFunc(m.serve), ReadHeaderTimeout: time.Second}
 	go m.run(m.srv, ln)
 }
 
 func (m *crashingEndpoint) run(srv *http.Server, ln net.Listener) {
-	_ = srv.Serve(ln) // until it is closed
+	_ = srv.Serve(ln) // returns when the server is closed
 }
 
 func (m *crashingEndpoint) serve(w http.ResponseWriter, r *http.Request) {
@@ -79,10 +79,10 @@
 	panic(http.ErrAbortHandler)
 }
 
-// mortals are all endpoints of a cluster.
+// crashingEndpoints are all endpoints of a cluster.
 type crashingEndpoints struct{ list []*crashingEndpoint }
 
-// startMortals starts a cluster whose endpoints are mortal.
+// startCrashingCluster starts a cluster whose endpoints exit under fatal requests.
 func startCrashingCluster(t *testing.T) (*cluster, *crashingEndpoints) {
 	t.Helper()
 	endpoints := &crashingEndpoints{}
@@ -95,7 +95,7 @@
 	return startCluster(t, s), endpoints
 }
 
-// runs counts those of fatal requests.
+// fatalRuns counts the runs of fatal requests at all endpoints.
 func (endpoints *crashingEndpoints) fatalRuns() int {
 	n := 0
 	for _, m := range endpoints.list {
@@ -106,14 +106,15 @@
 	return n
 }
 
-// A request of the product's own interface ends each endpoint that begins to run it, at
-// whichever daemon and under whichever id it comes.
+// TestOwnInterfaceStopsRequestsThatEndEndpoints guards against a request of the native
+// interface that makes each endpoint that begins to run it exit, whichever daemon it is
+// sent to and under whichever id.
 func TestOwnInterfaceStopsRequestsThatEndEndpoints(t *testing.T) {
 	c, endpoints := startCrashingCluster(t)
 	fatalRuns := endpoints.fatalRuns
 	send := func(duration time.Duration) {
 		for end, i := time.Now().Add(duration), 0; time.Now().Before(end); i++ {
-			_, _ = c.daemons[i%len(c.daemons)].chat("m", fatalBody, 5, true) // whatever it is told
+			_, _ = c.daemons[i%len(c.daemons)].chat("m", fatalBody, 5, true) // any outcome is allowed
 			time.Sleep(callerRetryInterval)
 		}
 	}
@@ -137,10 +138,11 @@
 	assert.Equal(t, got.status, http.StatusOK, got.body)
 }
 
-// A farmer pays for two belts: an order with a key has ended its endpoint, orders like it
-// come to be held back, and a caller that comes back with its key at another daemon is
-// told that the order has not run. What is known of a key goes first, at each daemon; an
-// order with a new key is refused at once, and its key may be used again.
+// TestOwnInterfaceTellsTheTruthOfKeysHeldBack guards against an order that is run and paid
+// twice. An order with a key makes its endpoint exit, orders like it are then held back,
+// and its caller comes back with the key at another daemon and is told that the order has
+// not run, so it orders again. The record of a key takes precedence over the quarantine, at
+// each daemon. An order with a new key is refused at once, and that key may be used again.
 func TestOwnInterfaceTellsTheTruthOfKeysHeldBack(t *testing.T) {
 	c, endpoints := startCrashingCluster(t)
 	order := func(d *daemon, key string) reply {
@@ -154,7 +156,7 @@
 		order(c.daemons[i%len(c.daemons)], fmt.Sprint("next-", i))
 		time.Sleep(callerRetryInterval)
 	}
-	c.waitFor("held back everywhere", settleTime*2, func() bool {
+	c.waitFor("the order is held back at all daemons", settleTime*2, func() bool {
 		for _, d := range c.daemons {
 			var list []holds.Status
 			if d.adminCall(http.MethodGet, "/admin/holds", nil, &list) != http.StatusOK || len(list) != 1 {
@@ -178,15 +180,16 @@
 }
 
 const (
-	// loadsBorne bounds the loads of a model that end endpoints: three until that is known,
-	// those under way then, and one after the first term.
+	// maxLoads bounds the loads of a model that makes endpoints exit: three until it is
+	// recognised, two in progress then, and one trial after the first hold expires.
 	maxLoads      = 3 + 2 + 1
 	loadWatchTime = 20 * time.Second
 )
 
-// Endpoints end again and again, each with the models that it has: the weights of one model
-// are broken, and whoever is ordered to load it ends. It is ordered again as soon as an
-// endpoint is back, by the record that lets an order be sent again.
+// TestOwnInterfaceStopsLoadsThatEndEndpoints guards against a model with broken weights
+// that makes endpoints exit again and again. Each endpoint that is ordered to load it exits
+// and loses all models that it has. The model was ordered again as soon as an endpoint was
+// back, because the record of the order allows it to be sent again.
 func TestOwnInterfaceStopsLoadsThatEndEndpoints(t *testing.T) {
 	c, endpoints := startCrashingCluster(t)
 	c.root.Children["service/chat"].Children["model/"+fatalBody] = &tree.Node{Model: &tree.Model{Version: "1", Memory: 14 * gb}}
@@ -195,7 +198,7 @@
 	n := endpoints.fatalRuns()
 	t.Logf("%d loads", n)
 	assert.Assert(t, n >= maxCrashes && n <= maxLoads, "%d loads", n)
-	c.waitFor("the other models are back", settleTime*5, func() bool { return c.hasReplicas("m", 1) && c.hasReplicas("r", 1) })
+	c.waitFor("the other models are ready again", settleTime*5, func() bool { return c.hasReplicas("m", 1) && c.hasReplicas("r", 1) })
 	got, err := c.daemons[0].chat("m", "harmless", 5, true)
 	assert.NilError(t, err)
 	assert.Equal(t, got.status, http.StatusOK, got.body)
--- a/proof/moves_test.go
+++ b/proof/moves_test.go
@@ -15,7 +15,8 @@
 	"primroseward/standin/platform"
 )
 
-// setVersion asks for another version of model m.
+// setVersion edits the version of model m through a daemon and reports whether the edit was
+// accepted.
 func (c *cluster) setVersion(d *daemon, version string) bool {
 	got := d.readNode("/service/chat/model/m")
 	if got.Node == nil {
@@ -26,12 +27,12 @@
 	return status == http.StatusOK
 }
 
-// An accelerator is overfilled, or a model is gone for a while, when versions
-// change while the owners that carry out the change die and stand still past
-// any lease, orders are lost or arrive two seconds late, and the endpoints'
-// check of fencing numbers differs. The engines hold two versions at most
-// beside each other; their own peak of memory must stay within what they have,
-// and callers must be answered throughout.
+// TestVersionsChangeWhileOwnersFail guards against overfilled accelerators, and against a
+// model that is unavailable for a while, when versions change while the owners that carry
+// out the change are killed or suspended past any lease, orders are lost or arrive two
+// seconds late, and endpoints differ in whether they check fencing numbers. The engines
+// have memory for at most two versions side by side. The peak that each engine measures
+// itself must stay within its memory, and callers must be answered throughout.
 func TestVersionsChangeWhileOwnersFail(t *testing.T) {
 	s := defaultSpec()
 	s.daemons = 4
@@ -75,7 +76,7 @@
 	c.checkNoOverCommit()
 }
 
-// hasVersion says whether some engine itself holds a version ready.
+// hasVersion reports whether some engine itself has a version ready.
 func (c *cluster) hasVersion(model, version string) bool {
 	for _, e := range c.engines {
 		for _, r := range e.Residents() {
@@ -87,9 +88,10 @@
 	return false
 }
 
-// A farmer's question finds no model: the only runner in a place dies with its
-// memory, then a whole place does. The model must be ready elsewhere again,
-// and be loaded again where the engine comes back empty.
+// TestEnginesLoseTheirMemory guards against requests that find no model after the only
+// runner in a data centre restarts without its loaded models, and then after all runners of
+// a data centre do. The model must become ready elsewhere, and be loaded again where an
+// engine has restarted empty.
 func TestEnginesLoseTheirMemory(t *testing.T) {
 	c := startCluster(t, defaultSpec())
 	for _, name := range []string{"e2", "e3"} {
@@ -105,9 +107,9 @@
 	c.checkNoOverCommit()
 }
 
-// Regulated data is served by settings that may be out of date: a daemon is cut
-// off from the platform and goes on for hours. Where a node sets fresh, it
-// refuses after that time, and other nodes go on.
+// TestFreshLimit guards against serving regulated data with settings that may be out of
+// date, when a daemon is cut off from the platform and goes on for hours. Where a node sets
+// fresh, the daemon refuses requests after that time; for other nodes it goes on serving.
 func TestFreshLimit(t *testing.T) {
 	c := startCluster(t, defaultSpec())
 	got := c.daemons[0].readNode("/service/review")
--- a/proof/requests_test.go
+++ b/proof/requests_test.go
@@ -17,6 +17,8 @@
 	"primroseward/state/tree"
 )
 
+// TestAnswersAndRefusalsAtEveryDaemon checks that each daemon serves both models, streamed or
+// not, and that faulty requests get their status and code and the outcome not_run.
 func TestAnswersAndRefusalsAtEveryDaemon(t *testing.T) {
 	c := startCluster(t, defaultSpec())
 	for i, d := range c.daemons {
@@ -52,10 +54,10 @@
 	}
 }
 
-// A caller would see a stream stop, end early, repeat itself or carry another
-// request's words. The engine cuts the connection in the middle, lets it go
-// silent, ends an answer early or answers with another request's id. The cause
-// is in the engine or on the way to it; callers get their whole answer.
+// TestEngineMisbehaves guards against streams that stall, end early, repeat events or
+// contain another request's text, when the fault is in the engine or on the path to it: the
+// engine cuts the connection in the middle of an answer, stalls it, ends an answer early or
+// answers with another request's id. Callers must get their complete answer.
 func TestEngineMisbehaves(t *testing.T) {
 	c := startCluster(t, defaultSpec())
 	cases := []struct {
@@ -91,9 +93,9 @@
 	}
 }
 
-// A caller would wait for ever. The connection between owner and engine
-// swallows bytes without a reset after some tokens; nothing reports it but the
-// silence. The stream goes on over a new connection.
+// TestSilentEngineConnection guards against a caller that waits for ever. After some tokens
+// the connection between owner and engine swallows bytes without a reset, so the missing
+// data is the only sign of the fault. The stream must continue over a new connection.
 func TestSilentEngineConnection(t *testing.T) {
 	s := defaultSpec()
 	c := startCluster(t, s)
@@ -109,14 +111,14 @@
 	assert.NilError(t, checkAnswer(r, "m", "silence", 20))
 }
 
-// A farmer would pay for two belts. The plain service runs the order and its
-// connection is then cut or goes silent; an HTTP client on a reused connection
-// would send it again by itself. The service's own log must show one run, and
-// the caller must not be told that nothing ran.
+// TestOrderRunsAtMostOnce guards against an order that is run and paid twice. The plain
+// service runs the order and then its connection is cut or stalls; an HTTP client on a
+// reused connection would send the order again by itself. The service's own log must show
+// one run, and the caller must not be told that nothing ran.
 func TestOrderRunsAtMostOnce(t *testing.T) {
 	c := startCluster(t, defaultSpec())
 	for i, f := range []plain.Faults{{Cut: 1}, {Cut: 1}, {Cut: 1}} {
-		// Reused connections first: lookups leave them idle.
+		// The lookups leave idle connections, so that the order is sent on a reused one.
 		for range 4 {
 			_, err := c.daemons[0].send("GET", "/services/parts/x", "")
 			assert.NilError(t, err)
@@ -142,6 +144,7 @@
 	}
 }
 
+// runsOf counts the runs of requests with a path at all plain endpoints.
 func (c *cluster) runsOf(path string) int {
 	n := 0
 	for _, s := range c.services {
@@ -154,9 +157,9 @@
 	return n
 }
 
-// A farmer would get two belts, or none and be told it was ordered. A caller
-// sends the same key to all entries at once and again later. One run, and the
-// same answer for all.
+// TestKeyedOrderAtAllEntriesAtOnce guards against an order that runs twice, or does not run
+// although its caller is told so, when a caller sends the same key to all entries at once
+// and again later. There must be one run, and the same answer for all.
 func TestKeyedOrderAtAllEntriesAtOnce(t *testing.T) {
 	c := startCluster(t, defaultSpec())
 	for round := range 5 {
@@ -176,9 +179,9 @@
 	assert.Equal(t, r.status, http.StatusUnprocessableEntity)
 }
 
-// A mechanic's order would be run twice after a crash. The entry that took it
-// is killed while the service works on it; the caller resends the same key at
-// the other entries. The claim stands, so nobody sends it again.
+// TestEntryKilledDuringOrder guards against an order that runs again after a crash. The
+// entry that received it is killed while the service works on it, and the caller sends the
+// same key again to the other entries. The claim stands, so no entry sends the order again.
 func TestEntryKilledDuringOrder(t *testing.T) {
 	c := startCluster(t, defaultSpec())
 	c.services["p1"].SetFaults(plain.Faults{Delay: time.Second})
@@ -195,9 +198,9 @@
 	assert.Equal(t, c.runsOf("/orders/k"), 1)
 }
 
-// Callers would lose answers when VMs come and go. Under load through eight
-// daemons one is killed, one is frozen for a while and one is stopped
-// gracefully. Every repeatable request gets its whole answer.
+// TestKillFreezeAndStopUnderLoad guards against lost answers when VMs come and go. Under
+// load through eight daemons, one is killed, one is suspended for a while and one is
+// stopped gracefully. Every repeatable request must get its complete answer.
 func TestKillFreezeAndStopUnderLoad(t *testing.T) {
 	s := defaultSpec()
 	s.daemons = 8
@@ -222,13 +225,13 @@
 	suspended.signal(syscall.SIGCONT)
 	<-done
 	checkErrors(t, errs)
-	c.waitFor("the stopped daemon has ended", 60*time.Second, c.daemons[5].exited)
+	c.waitFor("the stopped daemon has exited", 60*time.Second, c.daemons[5].exited)
 	c.checkNoOverCommit()
 }
 
-// Callers would see long streams cut by a planned stop. All daemons but one are
-// stopped while long streams go through every daemon; callers do not retry.
-// None is cut.
+// TestGracefulStopCutsNothing guards against long streams cut by a planned stop. All
+// daemons but one are stopped while long streams go through every daemon and callers do not
+// retry. No stream may be cut.
 func TestGracefulStopCutsNothing(t *testing.T) {
 	c := startCluster(t, defaultSpec())
 	errs := make([]error, 18)
@@ -250,15 +253,16 @@
 	c.daemons[1].signal(syscall.SIGTERM)
 	<-done
 	checkErrors(t, errs)
-	c.waitFor("both have ended", 60*time.Second, func() bool { return c.daemons[0].exited() && c.daemons[1].exited() })
+	c.waitFor("both daemons have exited", 60*time.Second, func() bool { return c.daemons[0].exited() && c.daemons[1].exited() })
 	r, err := c.daemons[2].chat("m", "after", 5, true)
 	assert.NilError(t, err)
 	assert.NilError(t, checkAnswer(r, "m", "after", 5))
 }
 
-// A caller waits in a queue that cannot serve it in time, and is told so only
-// at its deadline. When the queue is longer than the class's target allows, the
-// refusal comes at once, is true, and says when to come back.
+// TestOverloadIsRefusedAtOnce guards against a caller that waits in a queue that cannot
+// serve it in time and is refused only at its deadline. When the queue is longer than the
+// target of the class allows, the refusal must come at once, be true, and say when to come
+// back.
 func TestOverloadIsRefusedAtOnce(t *testing.T) {
 	s := defaultSpec()
 	for i := range s.engines {
@@ -296,15 +300,15 @@
 	assert.Check(t, slowestRefusal < slowestAnswer, "the last refusal after %s, the last answer after %s", slowestRefusal, slowestAnswer)
 }
 
-// An operator cannot tell why a model is not served. A model that fits on no
-// runner is named, with the reason, whichever daemon is asked; the others are
-// served.
+// TestUnplaceableModelIsReported guards against an operator who cannot find out why a model
+// is not served. Each daemon's status must name a model that fits on no runner, with the
+// reason, and the other models must be served.
 func TestUnplaceableModelIsReported(t *testing.T) {
 	c := startCluster(t, defaultSpec())
 	c.root.Children["model/huge"] = &tree.Node{Model: &tree.Model{Version: "1", Memory: 70 * gb}}
 	c.applyTree()
 	for _, d := range c.daemons {
-		c.waitFor("the model is named", 20*time.Second, func() bool {
+		c.waitFor("the status names the model", 20*time.Second, func() bool {
 			var st service.Status
 			d.adminCall(http.MethodGet, "/admin/status", nil, &st)
 			return len(st.Problems) == 1 && strings.Contains(st.Problems[0], "huge")
--- a/proof/session_test.go
+++ b/proof/session_test.go
@@ -25,7 +25,8 @@
 	"primroseward/transport/routers"
 )
 
-// volatile is what differs from run to run in a session's text.
+// volatile lists the parts of a recorded session that differ from run to run, with their
+// replacements.
 var volatile = []struct {
 	pattern *regexp.Regexp
 	with    string
@@ -40,6 +41,7 @@
 	{regexp.MustCompile(`"member":"vm-\d"`), `"member":"VM"`},
 }
 
+// normalize replaces the volatile parts of a session.
 func normalize(s string) string {
 	for _, v := range volatile {
 		s = v.pattern.ReplaceAllString(s, v.with)
@@ -47,7 +49,7 @@
 	return s
 }
 
-// exchange writes one call and its answer into a session's text.
+// exchange sends one request and appends it and its answer to the text of a session.
 func (d *daemon) exchange(out *strings.Builder, method, path, body string, header ...string) {
 	req, _ := http.NewRequest(method, "http://"+d.callerAddr+path, strings.NewReader(body))
 	fmt.Fprintf(out, "> %s %s\n", method, path)
@@ -74,7 +76,8 @@
 	fmt.Fprintf(out, "%s\n\n", strings.TrimRight(string(data), "\n"))
 }
 
-// A whole session of a caller, as it crosses the wire.
+// TestCallerSession compares a caller's session, with its requests and answers as sent over
+// HTTP, with a golden file.
 func TestCallerSession(t *testing.T) {
 	c := startCluster(t, defaultSpec())
 	d, other := c.daemons[0], c.daemons[1]
@@ -100,7 +103,7 @@
 	golden.Assert(t, normalize(out.String()), "caller.golden")
 }
 
-// buildCtl builds the operators' client beside the daemon.
+// buildPrimrosectl builds primrosectl beside the daemon and returns its path.
 func buildPrimrosectl(t *testing.T) string {
 	t.Helper()
 	ctl := filepath.Join(filepath.Dir(daemonBinary), "primrosectl")
@@ -109,7 +112,8 @@
 	return ctl
 }
 
-// A whole session of an operator with primrosectl, exit codes included.
+// TestOperatorSession compares an operator's session with primrosectl, exit codes included,
+// with a golden file.
 func TestOperatorSession(t *testing.T) {
 	c := startCluster(t, defaultSpec())
 	ctl := buildPrimrosectl(t)
@@ -141,10 +145,11 @@
 	golden.Assert(t, normalize(out.String()), "operator.golden")
 }
 
-// A caller loses its connection for good in the middle of an answer, without
-// an error on either side: something between them has forgotten it. It comes
-// back at another entry with its request id and the bytes that it has, and the
-// two parts make the whole answer; the engine has run the request once.
+// TestCallerComesBackAtAnotherEntry guards against a lost answer when a caller loses its
+// connection for good in the middle of it, without an error on either side because a hop
+// between them has dropped its state. The caller sends its request id and the number of
+// bytes that it has to another entry; the two parts must make the complete answer, and the
+// engine must have run the request once.
 func TestCallerComesBackAtAnotherEntry(t *testing.T) {
 	c := startCluster(t, defaultSpec())
 	proxy := newTCPProxy(t, c.daemons[0].callerAddr)
@@ -180,13 +185,14 @@
 	assert.Equal(t, runs, 1)
 }
 
-// An answer is lost with a planned stop: the entry that holds it leaves before
-// its caller comes back. The answer is handed to a daemon that stays.
+// TestHeldAnswersAreHandedOver guards against answers lost in a planned stop, when the
+// entry that holds an answer stops before its caller comes back. The answer must be handed
+// over to a daemon that stays.
 func TestHeldAnswersAreHandedOver(t *testing.T) {
 	c := startCluster(t, defaultSpec())
 	first := c.daemons[0]
 	bodies := map[string]string{}
-	for i := range 12 { // which daemons an id hashes to differs from id to id
+	for i := range 12 { // the id decides by its hash which daemons keep the answer
 		id := fmt.Sprint("kept-", i)
 		r, err := first.chat("r", id, 5, false, "Primrose-Request-Id", id)
 		assert.NilError(t, err)
@@ -204,8 +210,8 @@
 	}
 }
 
-// An entry runs out of memory or goroutines when callers send without end or
-// not at all. Each gets a clear answer.
+// TestOversizedRequestsAreRefused guards against an entry that runs out of memory or
+// goroutines when callers send without end or not at all. Each must get a clear answer.
 func TestOversizedRequestsAreRefused(t *testing.T) {
 	c := startCluster(t, defaultSpec())
 	d := c.daemons[0]
@@ -224,8 +230,8 @@
 	assert.Equal(t, r.status, http.StatusOK)
 }
 
-// A caller that stops in the middle of its body holds a connection, and a part
-// of the entry with it, for ever.
+// TestStalledRequestBodyTimesOut guards against a caller that stops in the middle of its
+// request body and so occupies a connection, and resources of the entry, for ever.
 func TestStalledRequestBodyTimesOut(t *testing.T) {
 	p := newPair(t)
 	handler := routers.New(p.entry, clockwork.NewRealClock(), zap.NewNop(), 1<<20, 100*time.Millisecond).Handler()
@@ -244,8 +250,9 @@
 	assert.Equal(t, len(p.parts.Runs()), 0)
 }
 
-// Accelerators go on with work that nobody waits for: the caller has closed its
-// connection and cannot come back, since it gave no id of its own.
+// TestEngineStopsWhenItsCallerDisconnects guards against accelerators that go on with work
+// whose answer nobody can receive: the caller has closed its connection and cannot come
+// back, since it gave no id of its own.
 func TestEngineStopsWhenItsCallerDisconnects(t *testing.T) {
 	c := startCluster(t, defaultSpec())
 	ctx, cancel := context.WithCancel(context.Background())
--- a/proof/settings_test.go
+++ b/proof/settings_test.go
@@ -19,8 +19,8 @@
 	"primroseward/transport/admin"
 )
 
-// edit sets a node at a path through a daemon and returns the status and the
-// new version.
+// edit replaces the node at a path through a daemon and returns the status and the new
+// version.
 func (d *daemon) edit(path string, version uint64, node *tree.Node) (int, service.Got) {
 	data, _ := json.Marshal(node)
 	var got service.Got
@@ -28,23 +28,24 @@
 	return status, got
 }
 
+// readNode returns the node at a path, or the zero value if the daemon does not return one.
 func (d *daemon) readNode(path string) service.Got {
 	var got service.Got
 	d.adminCall(http.MethodGet, "/admin/tree?path="+path, nil, &got)
 	return got
 }
 
-// chatNode is the service node of model m, narrowed to places.
+// chatNode returns the node of service chat, narrowed to data centres.
 func (c *cluster) chatNode(dataCentres ...string) *tree.Node {
 	node := *c.root.Children["service/chat"]
 	node.Set.Places = &dataCentres
 	return &node
 }
 
-// An operator takes a place away and a request is still answered there: the
-// edit was accepted, but a daemon that routes or owns had not heard of it. All
-// daemons must have it within seconds, and from then on no answer comes from
-// the place that was taken away.
+// TestNarrowingIsInForceWithinSeconds guards against answers from a data centre that an
+// operator has excluded: the edit was accepted, but a daemon that routes or owns had not
+// received it. All daemons must have it within seconds, and from then on no answer may come
+// from that data centre.
 func TestNarrowingIsInForceWithinSeconds(t *testing.T) {
 	s := defaultSpec()
 	s.daemons = 6
@@ -65,10 +66,10 @@
 	}
 }
 
-// Two operators edit at the same time and the second unknowingly undoes the
-// first one's change. An edit names the version that it was made from; of
-// several made from the same one exactly one wins, and the others are shown
-// what it wrote.
+// TestRacingOperators guards against an operator who unknowingly undoes another operator's
+// change made at the same time. An edit names the version that it was made from; of several
+// edits made from the same version exactly one is accepted, and the others get a conflict
+// with what it wrote.
 func TestRacingOperators(t *testing.T) {
 	c := startCluster(t, defaultSpec())
 	for range 5 {
@@ -91,9 +92,9 @@
 	}
 }
 
-// An operator is told of a conflict, or the change is made twice, although the
-// first try worked: the platform carried out the write and its answer was
-// lost. The write must be recognised as the operator's own.
+// TestLostAnswerOfAnEdit guards against a false conflict, or a change made twice, when the
+// platform carries out the write but its answer is lost. The write must be recognised as
+// the operator's own.
 func TestLostAnswerOfAnEdit(t *testing.T) {
 	c := startCluster(t, defaultSpec())
 	for i := range 5 {
@@ -110,9 +111,10 @@
 	}
 }
 
-// A wrong edit takes the system down. Widening children, unknown fields and
-// dangling names are refused with all faults at once, and a branch that
-// somebody else wrote wrongly into the platform does not replace the good one.
+// TestBadSettingsNeverGetIntoForce guards against an invalid edit that takes the system
+// down. Children that widen their parent's settings, unknown fields and dangling names are
+// refused with all faults in one answer, and an invalid branch that another program has
+// written to the platform does not replace the valid one.
 func TestBadSettingsNeverGetIntoForce(t *testing.T) {
 	c := startCluster(t, defaultSpec())
 	base := c.daemons[0].readNode("/service/review").Version
@@ -123,7 +125,7 @@
 	assert.Equal(t, status, http.StatusUnprocessableEntity)
 
 	c.platformPut(core.KindTree, "service.chat", `{"node":{"set":{"concurency":1}}}`)
-	c.waitFor("the fault is shown", 10*time.Second, func() bool {
+	c.waitFor("the status of every member shows the fault", 10*time.Second, func() bool {
 		var st service.Status
 		c.daemons[0].adminCall(http.MethodGet, "/admin/status", nil, &st)
 		for _, m := range st.Members {
@@ -138,7 +140,7 @@
 	assert.NilError(t, checkAnswer(r, "m", "still", 3))
 }
 
-// platformPut writes an object past the system.
+// platformPut writes an object directly to the platform, without a daemon.
 func (c *cluster) platformPut(kind, name, spec string) {
 	c.t.Helper()
 	url := "http://" + c.platformAddr + wire.PathObjects + kind + "/" + name
@@ -153,22 +155,22 @@
 	assert.Equal(c.t, callJSON(adminClient, http.MethodPut, url, item, nil), http.StatusOK)
 }
 
-// Regulated data would be served where an operator has just forbidden it. A
-// daemon restarts, or a watch begins with old events, or the platform is down:
-// the daemon must come back with the newest settings that anyone has, and never
-// an older one.
+// TestSettingsNeverGoBack guards against regulated data being served where an operator has
+// just excluded it, when a daemon restarts, a watch begins with old events or the platform
+// is down. The restarted daemon must get the newest settings that any daemon or the
+// platform has, and never older ones.
 func TestSettingsNeverGoBack(t *testing.T) {
 	c := startCluster(t, defaultSpec())
 	base := c.daemons[0].readNode("/service/chat")
 	status, got := c.daemons[0].edit("/service/chat", base.Version, c.chatNode("south"))
 	assert.Equal(t, status, http.StatusOK)
-	c.waitFor("in force", 10*time.Second, func() bool { return c.daemons[2].ownVersion("service/chat") == got.Version })
+	c.waitFor("the edit is in force at the third daemon", 10*time.Second, func() bool { return c.daemons[2].ownVersion("service/chat") == got.Version })
 	c.platform.SetFaults(platform.Faults{StaleWatch: true})
 	for _, d := range c.daemons {
 		d.kill()
 		d.start()
-		c.waitFor("served again", 20*time.Second, func() bool {
-			assert.Check(t, !c.anyOlder("service/chat", got.Version), "a daemon went back")
+		c.waitFor("the restarted daemon serves again", 20*time.Second, func() bool {
+			assert.Check(t, !c.anyOlder("service/chat", got.Version), "a daemon has returned to older settings")
 			r, err := d.chat("m", "again", 3, false)
 			if err != nil || r.status != http.StatusOK {
 				return false
@@ -181,15 +183,15 @@
 	d := c.daemons[1]
 	d.kill()
 	d.start()
-	c.waitFor("served from peers' settings", 20*time.Second, func() bool {
+	c.waitFor("the restarted daemon serves with the settings of its peers", 20*time.Second, func() bool {
 		r, err := d.chat("m", "outage", 3, false)
 		return err == nil && r.status == http.StatusOK && r.dataCentre == "south"
 	})
 	assert.Equal(t, d.ownVersion("service/chat"), got.Version)
 }
 
-// versionHere is the version of a branch in a daemon's own memory, 0 if the
-// daemon does not answer.
+// ownVersion returns the version of a branch in a daemon's own memory, or 0 if the daemon
+// does not answer.
 func (d *daemon) ownVersion(branch string) uint64 {
 	var st service.Status
 	d.adminCall(http.MethodGet, "/admin/status", nil, &st)
@@ -201,6 +203,7 @@
 	return 0
 }
 
+// anyOlder reports whether a daemon has a branch in a version below the given one.
 func (c *cluster) anyOlder(branch string, version uint64) bool {
 	for _, d := range c.daemons {
 		if v := d.ownVersion(branch); v != 0 && v < version {
@@ -210,10 +213,10 @@
 	return false
 }
 
-// Work would go on being sent to a machine that is about to go. The platform's
-// list, an operator's drain or the endpoint's own word says that it leaves.
-// After a few seconds it must get nothing new, and its model must be ready
-// elsewhere.
+// TestLeavingEndpointGetsNoNewWork guards against requests to a VM that is about to be
+// removed, when the platform's list, an operator's drain or the endpoint itself reports
+// that it is leaving. After a few seconds it must get no new requests, and its model must
+// be ready elsewhere.
 func TestLeavingEndpointGetsNoNewWork(t *testing.T) {
 	s := defaultSpec()
 	s.plainEndpoints = []string{"p1", "p2"}
@@ -230,13 +233,13 @@
 		}
 		return onP1
 	}
-	c.waitFor("the leaving endpoint gets nothing", 20*time.Second, func() bool { return lookups() == 0 })
+	c.waitFor("the leaving endpoint gets no requests", 20*time.Second, func() bool { return lookups() == 0 })
 	before := len(c.services["p1"].Runs())
 	assert.Equal(t, lookups(), 0)
 	assert.Equal(t, len(c.services["p1"].Runs()), before)
 
 	c.services["p2"].SetFaults(plain.Faults{Leaving: true})
-	c.waitFor("no endpoint takes new work", 20*time.Second, func() bool {
+	c.waitFor("no endpoint accepts new requests", 20*time.Second, func() bool {
 		r, err := c.daemons[0].send("GET", "/services/parts/x", "")
 		assert.NilError(t, err)
 		if r.status == http.StatusOK {
@@ -248,7 +251,8 @@
 		return true
 	})
 
-	// The only runner of the review model leaves: the model moves first.
+	// The only runner of the review model leaves, so the model must become ready elsewhere
+	// first.
 	c.platformPut(core.KindVM, c.readyRunner("r"), `{"state":"leaving"}`)
 	c.waitFor("the model is ready elsewhere", 20*time.Second, func() bool {
 		r, err := c.daemons[0].chat("r", "moved", 3, false)
@@ -257,7 +261,8 @@
 	c.checkNoOverCommit()
 }
 
-// holder returns an engine that has a model ready.
+// readyRunner returns a runner that has a model ready and is not leaving, or an empty
+// string.
 func (c *cluster) readyRunner(model string) string {
 	var runners []service.RunnerStatus
 	c.daemons[0].adminCall(http.MethodGet, "/admin/runners", nil, &runners)
@@ -271,9 +276,9 @@
 	return ""
 }
 
-// Callers would lose the service when the platform does. During an outage
-// requests, streams and the failover of a dead owner go on; what needs a write
-// is refused truthfully and at once.
+// TestPlatformOutage guards against losing the service together with the platform. During
+// an outage requests, streams and the failover of a killed owner must go on; requests that
+// need a write to the platform must be refused truthfully and at once.
 func TestPlatformOutage(t *testing.T) {
 	s := defaultSpec()
 	s.daemons = 4
@@ -299,7 +304,7 @@
 	assert.NilError(t, err)
 	assert.Equal(t, r.outcome, "not_run", r.body)
 	assert.Check(t, r.retryAfter != "")
-	assert.Check(t, time.Since(began) < deadline/4, "the refusal is held back")
+	assert.Check(t, time.Since(began) < deadline/4, "the refusal came late")
 	assert.Equal(t, c.runsOf("/orders/o"), 0)
 	c.platform.SetFaults(platform.Faults{})
 	c.waitFor("the order can be made", 30*time.Second, func() bool {
--- a/proof/silent_test.go
+++ b/proof/silent_test.go
@@ -38,13 +38,13 @@
 	"go.uber.org/zap"
 )
 
-// wireTap is a TCP forwarder whose connections can be made silent or cut.
+// tcpProxy forwards TCP connections and can make them stall or cut them.
 type tcpProxy struct {
 	to     string
 	ln     net.Listener
 	mu     sync.Mutex
 	conns  []*proxiedConn
-	passed atomic.Int64 // bytes towards the caller of the connection
+	passed atomic.Int64 // bytes forwarded to the side that opened the connection
 	down   atomic.Bool  // new connections are closed at once
 }
 
@@ -87,8 +87,8 @@
 	}
 }
 
-// copy forwards bytes, or swallows them once the connection is silent. A
-// silent connection passes on no end either.
+// copy forwards bytes, or discards them once the connection is stalled. A stalled
+// connection does not forward the end of the stream either.
 func (w *tcpProxy) copy(c *proxiedConn, from, to net.Conn, count *atomic.Int64) {
 	buf := make([]byte, 4096)
 	for {
@@ -114,7 +114,7 @@
 	}
 }
 
-// silence makes all connections of now silent; new ones work.
+// stall makes all present connections stall; new ones work.
 func (w *tcpProxy) stall() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -132,7 +132,7 @@
 	}
 }
 
-// pair is an entry and an owner with a wire between them that can be tapped.
+// pair is an entry and an owner whose connections pass through a TCP proxy.
 type pair struct {
 	entry  *entry.Entry
 	owner  *owner.Manager
@@ -145,7 +145,7 @@
 	return core.Member{Name: name, Place: name, Peer: netip.MustParseAddrPort("127.0.0.1:1"), Caller: netip.MustParseAddrPort("127.0.0.1:1"), Boot: 7}
 }
 
-// newPair joins an entry in place a to the owner of all runners in place b.
+// newPair connects an entry in data centre a to the owner of all runners in data centre b.
 func newPair(t *testing.T) *pair {
 	clock := clockwork.NewRealClock()
 	p := &pair{engine: engine.New(engine.Config{
@@ -195,7 +195,7 @@
 	connect := func(_ string, e tree.Endpoint) core.Endpoint {
 		return endpoint.New(netip.MustParseAddrPort(e.Addr), clock)
 	}
-	// Reports go straight to the one directory.
+	// Reports skip the network and go directly to the single directory.
 	p.owner = owner.New(replica, tables["b"], client, connect, clock, owner.WithDirectory(
 		func(_ context.Context, _ core.Member, r []directory.Report) error { dir.Put(r); return nil },
 		func(_ context.Context, key string) []directory.Report { return dir.Find(key) }))
@@ -258,15 +258,15 @@
 	return checkAnswer(reply{status: http.StatusOK, body: got}, "m", prompt, tokens)
 }
 
-// A caller waits for ever or gets a cut answer. The connection between entry
-// and owner goes silent for good, or is cut, in the middle of streams, again
-// and again, while new connections work. Pings notice it, and the streams go
-// on from their offset over a new connection; the engine sees each request
-// once, whether it may be repeated or not.
+// TestSilentConnectionBetweenDaemons guards against callers that wait for ever or get a cut
+// answer. The connection between entry and owner stalls for good, or is cut, in the middle
+// of streams, again and again, while new connections work. Pings detect the fault, and the
+// streams continue from their offset over a new connection; the engine must receive each
+// request once, whether it is repeatable or not.
 func TestSilentConnectionBetweenDaemons(t *testing.T) {
 	for _, repeatable := range []bool{true, false} {
-		for _, fault := range []string{"silent", "cut"} {
-			t.Run(fmt.Sprintf("%s, repeat %t", fault, repeatable), func(t *testing.T) {
+		for _, fault := range []string{"stalled", "cut"} {
+			t.Run(fmt.Sprintf("%s, repeatable %t", fault, repeatable), func(t *testing.T) {
 				p := newPair(t)
 				errs := make([]error, 6)
 				done := make(chan struct{})
@@ -280,7 +280,7 @@
 						if p.proxy.passed.Load() > from+20000 {
 							return poll.Success()
 						}
-						return poll.Continue("no data yet")
+						return poll.Continue("fewer than 20000 bytes forwarded yet")
 					}, pollWithin(20*time.Second)...)
 					if fault == "cut" {
 						p.proxy.cut()
@@ -296,10 +296,10 @@
 	}
 }
 
-// A caller is told that its order did not run although it did, or its order is
-// run twice. The wire between entry and owner is cut at any moment of a
-// dispatch: before, while or after the request crosses it. What the caller is
-// told must agree with the service's own log.
+// TestRefusalsAreTrueAtEveryCut guards against a caller that is told that its order did not
+// run although it did, and against an order that runs twice. The connection between entry
+// and owner is cut at any moment of a dispatch: before, while or after the request is sent
+// over it. The answer to the caller must agree with the log of the service itself.
 func TestRefusalsAreTrueAtEveryCut(t *testing.T) {
 	p := newPair(t)
 	p.parts.SetFaults(plain.Faults{Delay: 5 * time.Millisecond})
@@ -325,7 +325,7 @@
 			assert.Equal(t, runs, 1, got)
 			outcomes["answered"]++
 		case errors.As(err, &re) && re.Outcome == core.OutcomeNotRun:
-			time.Sleep(20 * time.Millisecond) // a request still under way would show
+			time.Sleep(20 * time.Millisecond) // time for a request still in transit to run
 			assert.Equal(t, runs, 0, "%s: %v", path, err)
 			outcomes["not run"]++
 		default:
--- a/proof/trace_test.go
+++ b/proof/trace_test.go
@@ -10,14 +10,14 @@
 	"gotest.tools/v3/assert"
 )
 
-// An operator cannot follow a slow request: a hop has no span, or spans of one
-// request do not belong together.
+// TestEachHopHasASpan guards against a slow request that an operator cannot trace, because
+// a hop has no span or the spans of one request are not in one trace.
 func TestEachHopHasASpan(t *testing.T) {
 	spans := tracetest.NewSpanRecorder()
 	provider := sdk.NewTracerProvider(sdk.WithSpanProcessor(spans))
 	previous := otel.GetTracerProvider()
 	otel.SetTracerProvider(provider)
-	otel.SetTextMapPropagator(propagation.TraceContext{}) // as the daemon does
+	otel.SetTextMapPropagator(propagation.TraceContext{}) // same propagator as in the daemon
 	defer otel.SetTracerProvider(previous)
 	p := newPair(t)
 	assert.NilError(t, p.chat("trace me", 5, true))
--- a/proof/workspaces_test.go
+++ b/proof/workspaces_test.go
@@ -15,17 +15,17 @@
 	"primroseward/standin/runner"
 )
 
-// workspace is one of a configuration, as operators write it.
+// workspace is a workspace of a configuration, as operators write it.
 type workspace struct {
 	name        string
 	keys        []string
 	rate, burst float64
 }
 
-// plainTokens is what a request weighs that tells no tokens.
+// plainTokens is the number of tokens charged for a request that does not state its own.
 const plainTokens = 50
 
-// workspaceConfig is fleetConfig with workspaces, and a route that needs no key.
+// workspaceConfig returns fleetConfig with workspaces and a route that needs no key.
 func workspaceConfig(version int, list ...workspace) any {
 	config := fleetConfig(version, "/gen/").(map[string]any)
 	public := map[string]any{
@@ -43,9 +43,10 @@
 	return config
 }
 
+// withKey returns the header line that carries a key.
 func withKey(key string) string { return wire.HeaderKey + ": " + wire.KeyScheme + " " + key }
 
-// awaitStatus waits until a daemon answers requests with a key as wanted.
+// awaitStatus waits until a daemon answers requests with a key with the wanted status.
 func (c *fleetCluster) awaitStatus(d *fleetDaemon, key string, want int) {
 	c.t.Helper()
 	poll.WaitOn(c.t, func(poll.LogT) poll.Result {
@@ -57,7 +58,7 @@
 	}, poll.WithTimeout(10*time.Second))
 }
 
-// runsAt are the requests of a service that have run, at all runners.
+// runsAtService returns the requests that have run at all runners of a service.
 func (c *fleetCluster) runsAtService(service string) []runner.Run {
 	var out []runner.Run
 	for _, r := range c.runners {
@@ -68,8 +69,8 @@
 	return out
 }
 
-// A request runs without a key that a workspace holds, or its runner sees the key or
-// another workspace's name.
+// TestFleetAsksForKeys guards against a request that runs without a key of a workspace, and
+// against a runner that receives the key or the name of another workspace.
 func TestFleetAsksForKeys(t *testing.T) {
 	c := startFleet(t, 2)
 	c.put(wire.KindConfig, wire.NameConfig, workspaceConfig(2, workspace{name: "one", keys: []string{"k1"}}, workspace{name: "two", keys: []string{"k2"}}))
@@ -82,14 +83,14 @@
 		status            int
 		workspace         string
 	}{
-		{"a key", "/ask/a", "", []string{withKey("k1")}, http.StatusOK, "one"},
-		{"another workspace's", "/order/a", "", []string{withKey("k2")}, http.StatusOK, "two"},
-		{"a stream", "/gen/a", "m1", []string{withKey("k2")}, http.StatusOK, "two"},
-		{"a workspace that the caller names", "/ask/b", "", []string{withKey("k1"), strings.ToUpper(wire.HeaderWorkspace) + ": two"}, http.StatusOK, "one"},
+		{"key", "/ask/a", "", []string{withKey("k1")}, http.StatusOK, "one"},
+		{"key of another workspace", "/order/a", "", []string{withKey("k2")}, http.StatusOK, "two"},
+		{"stream", "/gen/a", "m1", []string{withKey("k2")}, http.StatusOK, "two"},
+		{"workspace header sent by the caller", "/ask/b", "", []string{withKey("k1"), strings.ToUpper(wire.HeaderWorkspace) + ": two"}, http.StatusOK, "one"},
 		{"no key", "/ask/c", "", nil, http.StatusUnauthorized, ""},
-		{"an unknown key", "/ask/c", "", []string{withKey("k3")}, http.StatusUnauthorized, ""},
+		{"unknown key", "/ask/c", "", []string{withKey("k3")}, http.StatusUnauthorized, ""},
 		{"two keys", "/ask/c", "", []string{withKey("k1"), withKey("k2")}, http.StatusUnauthorized, ""},
-		{"a public route", "/open/a", "", []string{withKey("k3"), wire.HeaderWorkspace + ": two"}, http.StatusOK, ""},
+		{"public route", "/open/a", "", []string{withKey("k3"), wire.HeaderWorkspace + ": two"}, http.StatusOK, ""},
 	} {
 		status, body, err := c.daemons[0].send(tt.path, tt.name, tt.model, tt.header...)
 		assert.NilError(t, err, tt.name)
@@ -110,9 +111,9 @@
 	assert.Assert(t, strings.Contains(out, "one") && !strings.Contains(out, "k1"), out)
 }
 
-// A key that has been taken away lets callers in: at a daemon whose store is away, that has
-// just started, on a connection that is open. Or a caller that changes its key in time is
-// refused.
+// TestFleetTakesKeysAway guards against a removed key that is still accepted: by a daemon
+// that cannot reach the store, by a daemon that has just started, on an open connection. It
+// also guards against refusing a caller that changes its key in time.
 func TestFleetTakesKeysAway(t *testing.T) {
 	c := startFleet(t, 3)
 	putKeys := func(version int, keys ...string) {
@@ -154,8 +155,9 @@
 	assert.Equal(t, len(c.runsAtService("app")), before)
 }
 
-// A workspace uses more than its allowance by sending to all daemons, also as one of them
-// starts again; or a workspace beside it is not served.
+// TestFleetHoldsAllowances guards against a workspace that exceeds its allowance by sending
+// to all daemons, also while one of them restarts, and against another workspace that is
+// then not served.
 func TestFleetHoldsAllowances(t *testing.T) {
 	const rate, burst, window, slack = 1000.0, 1000.0, 2 * time.Second, 200.0
 	c := startFleet(t, 3)
@@ -211,6 +213,6 @@
 	bound := (rate*window.Seconds()+burst)*1.1 + slack
 	t.Logf("hot: %d runs, at most %d in %v, which is %.2f of the bound; calm: %d of %d", len(runTimes), peak, window, float64(peak)*plainTokens/bound, served, calm)
 	assert.Check(t, float64(peak)*plainTokens <= bound)
-	assert.Check(t, float64(len(runTimes))*plainTokens >= 0.7*rate*6, "the allowance is left unused")
-	assert.Check(t, served*100 >= 95*calm, "%d of %d", served, calm)
+	assert.Check(t, float64(len(runTimes))*plainTokens >= 0.7*rate*6, "less than 0.7 of the rate was used")
+	assert.Check(t, served*100 >= 95*calm, "requests of workspace calm served: %d of %d", served, calm)
 }
