--- a/proof/caller_test.go
+++ b/proof/caller_test.go
@@ -163,13 +163,13 @@
 func (c *cluster) chatWithRetries(first int, model, prompt string, tokens int, stream bool) error {
 	id := uuid.NewString()
 	var lastErr error
-	for attempt := range 40 {
-		d := c.daemons[(first+attempt)%len(c.daemons)]
+	for try := range 40 {
+		d := c.daemons[(first+try)%len(c.daemons)]
 		r, err := d.chat(model, prompt, tokens, stream, "Primrose-Request-Id", id)
 		if err == nil && r.status == http.StatusOK {
 			return checkAnswer(r, model, prompt, tokens)
 		}
-		lastErr = fmt.Errorf("attempt %d at %s: %v, status %d, %s", attempt, d.name, err, r.status, r.body)
+		lastErr = fmt.Errorf("try %d at %s: %v, status %d, %s", try, d.name, err, r.status, r.body)
 		time.Sleep(200 * time.Millisecond)
 	}
 	return lastErr
--- a/proof/fleet_test.go
+++ b/proof/fleet_test.go
@@ -19,8 +19,8 @@
 )
 
 // TestFleetServes checks the whole path through the platform: callers find daemons in the
-// directory, daemons find runners, requests and streams come back unchanged, and unknown
-// routes are answered with 404, unlike refusals.
+// directory, daemons find runners, and requests and streams come back unchanged. An unknown
+// route is answered with 404, so that callers can tell it from a refusal.
 func TestFleetServes(t *testing.T) {
 	c := startFleet(t, 2)
 	d := c.daemons[0]
@@ -252,7 +252,7 @@
 	onlySouth()
 	c.store.SetFaults(platform.Faults{Down: true})
 	c.daemons[2].restart(c)
-	c.awaitReadyStatus(c.daemons[2], http.StatusOK) // with snapshots of other daemons
+	c.awaitReadyStatus(c.daemons[2], http.StatusOK) // ready through another daemon's snapshot of the store
 	onlySouth()
 	c.store.SetFaults(platform.Faults{})
 }
--- a/proof/life_test.go
+++ b/proof/life_test.go
@@ -208,8 +208,8 @@
 
 // TestLifeOfRequests guards against false answers to callers when faults coincide: daemons
 // are killed, suspended and resumed, the platform is down or loses answers, endpoints cut
-// and cross answers, and the same keys are sent through several entries. In every order of
-// events a complete answer is the right one, no order runs twice, and an order that was
+// and cross answers, and the same keys are sent through several entries. In every sequence
+// of events a complete answer is the right one, no order runs twice, and an order that was
 // refused as not run has not run.
 func TestLifeOfRequests(t *testing.T) {
 	outer := t
--- a/proof/limits_test.go
+++ b/proof/limits_test.go
@@ -20,8 +20,7 @@
 )
 
 // limitWindow is the window over which arrivals at a limited runner are counted,
-// limitSettleTime the time from the first answer in which it names a limit until counting
-// begins.
+// limitSettleTime the time from the moment it first names a limit until counting begins.
 const (
 	limitWindow     = 4 * time.Second
 	limitSettleTime = 3 * time.Second
@@ -45,7 +44,7 @@
 }
 
 // sendAtInterval sends a request to a random daemon every interval for a duration, and
-// returns how often each status was answered.
+// returns the number of answers by status.
 func (c *fleetCluster) sendAtInterval(interval, duration time.Duration) map[int]int {
 	c.t.Helper()
 	var mu sync.Mutex
--- a/proof/mortal_test.go
+++ b/proof/mortal_test.go
@@ -181,7 +181,7 @@
 
 const (
 	// maxLoads bounds the loads of a model that makes endpoints exit: three until it is
-	// recognised, two in progress then, and one trial after the first hold expires.
+	// recognised, two in progress then, and one after its first hold expires.
 	maxLoads      = 3 + 2 + 1
 	loadWatchTime = 20 * time.Second
 )
