--- a/proof/caller_test.go
+++ b/proof/caller_test.go
@@ -17,23 +17,25 @@
 	"primroseward/standin/engine"
 )
 
-// reply is what a caller got.
+// reply is the answer that a caller received.
 type reply struct {
-	status  int
-	body    string
-	outcome string
-	code    string
-	retry   string
-	place   string
-	runner  string
+	status     int
+	body       string
+	outcome    string
+	code       string
+	retryAfter string
+	dataCentre string
+	runner     string
 }
 
-// errCut says that an answer broke off.
-var errCut = errors.New("the answer was cut")
+// errTruncated is returned for an answer that ended before it was complete.
+var errTruncated = errors.New("truncated answer")
 
-var callers = &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 100}}
+var callerClient = &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 100}}
 
-func call(client *http.Client, method, url string, in, out any) int {
+// callJSON sends in as JSON and decodes an answer with status 200 into out. It returns the
+// status, or 0 if there is no answer or its body cannot be decoded.
+func callJSON(client *http.Client, method, url string, in, out any) int {
 	data, _ := json.Marshal(in)
 	req, err := http.NewRequest(method, url, bytes.NewReader(data))
 	if err != nil {
@@ -53,10 +55,10 @@
 	return resp.StatusCode
 }
 
-// send makes one call without any retry. A request without GetBody is never
-// sent twice by the client itself.
+// send makes one request and never retries it. The body has no GetBody, so http.Client
+// cannot send it a second time by itself either.
 func (d *daemon) send(method, path, body string, header ...string) (reply, error) {
-	req, err := http.NewRequest(method, "http://"+d.caller+path, io.NopCloser(strings.NewReader(body)))
+	req, err := http.NewRequest(method, "http://"+d.callerAddr+path, io.NopCloser(strings.NewReader(body)))
 	if err != nil {
 		return reply{}, err
 	}
@@ -64,19 +66,19 @@
 	for i := 0; i+1 < len(header); i += 2 {
 		req.Header.Set(header[i], header[i+1])
 	}
-	resp, err := callers.Do(req)
+	resp, err := callerClient.Do(req)
 	if err != nil {
 		return reply{}, err
 	}
 	defer resp.Body.Close()
 	data, err := io.ReadAll(resp.Body)
 	r := reply{
-		status:  resp.StatusCode,
-		body:    string(data),
-		outcome: resp.Header.Get("Primrose-Outcome"),
-		retry:   resp.Header.Get("Retry-After"),
-		place:   resp.Header.Get("Primrose-Place"),
-		runner:  resp.Header.Get("Primrose-Runner"),
+		status:     resp.StatusCode,
+		body:       string(data),
+		outcome:    resp.Header.Get("Primrose-Outcome"),
+		retryAfter: resp.Header.Get("Retry-After"),
+		dataCentre: resp.Header.Get("Primrose-Place"),
+		runner:     resp.Header.Get("Primrose-Runner"),
 	}
 	var e struct {
 		Error struct {
@@ -86,7 +88,7 @@
 	_ = json.Unmarshal(data, &e)
 	r.code = e.Error.Code
 	if err != nil {
-		return r, errors.Join(errCut, err)
+		return r, errors.Join(errTruncated, err)
 	}
 	return r, nil
 }
@@ -99,21 +101,21 @@
 	return d.send(http.MethodPost, "/v1/chat/completions", chatBody(model, prompt, tokens, stream), header...)
 }
 
-// textOf reads the text of an answer, streamed or not. An answer without its
-// end marker is an error.
-func textOf(body string) (string, error) {
+// answerText returns the text of an answer, streamed or not. A streamed answer without its
+// end marker returns errTruncated.
+func answerText(body string) (string, error) {
 	if !strings.HasPrefix(body, "data:") {
-		var whole struct {
+		var full struct {
 			Choices []struct {
 				Message struct {
 					Content string `json:"content"`
 				} `json:"message"`
 			} `json:"choices"`
 		}
-		if err := json.Unmarshal([]byte(body), &whole); err != nil || len(whole.Choices) != 1 {
-			return "", fmt.Errorf("not an answer: %s", body)
+		if err := json.Unmarshal([]byte(body), &full); err != nil || len(full.Choices) != 1 {
+			return "", fmt.Errorf("not a chat completion: %s", body)
 		}
-		return whole.Choices[0].Message.Content, nil
+		return full.Choices[0].Message.Content, nil
 	}
 	var text strings.Builder
 	lines := bufio.NewScanner(strings.NewReader(body))
@@ -133,19 +135,20 @@
 			} `json:"choices"`
 		}
 		if err := json.Unmarshal([]byte(data), &chunk); err != nil || len(chunk.Choices) != 1 {
-			return "", fmt.Errorf("not a chunk: %s", data)
+			return "", fmt.Errorf("not a chat completion chunk: %s", data)
 		}
 		text.WriteString(chunk.Choices[0].Delta.Content)
 	}
-	return text.String(), errCut
+	return text.String(), errTruncated
 }
 
-// right says whether a reply is the whole answer to a prompt and nothing else.
-func right(r reply, model, prompt string, tokens int) error {
+// checkAnswer returns an error unless a reply is the complete answer to a prompt and
+// nothing else.
+func checkAnswer(r reply, model, prompt string, tokens int) error {
 	if r.status != http.StatusOK {
 		return fmt.Errorf("status %d: %s", r.status, r.body)
 	}
-	text, err := textOf(r.body)
+	text, err := answerText(r.body)
 	if err != nil {
 		return err
 	}
@@ -155,21 +158,21 @@
 	return nil
 }
 
-// insist asks as callers should: with an id of their own, at another entry
-// when a connection breaks or a refusal says when to come back.
-func (c *cluster) insist(first int, model, prompt string, tokens int, stream bool) error {
+// chatWithRetries sends a chat request as callers should: under an id of their own, and at
+// another entry when a connection breaks or a refusal says when to come back.
+func (c *cluster) chatWithRetries(first int, model, prompt string, tokens int, stream bool) error {
 	id := uuid.NewString()
-	var last error
+	var lastErr error
 	for try := range 40 {
 		d := c.daemons[(first+try)%len(c.daemons)]
 		r, err := d.chat(model, prompt, tokens, stream, "Primrose-Request-Id", id)
 		if err == nil && r.status == http.StatusOK {
-			return right(r, model, prompt, tokens)
+			return checkAnswer(r, model, prompt, tokens)
 		}
-		last = fmt.Errorf("try %d at %s: %v, status %d, %s", try, d.name, err, r.status, r.body)
+		lastErr = fmt.Errorf("try %d at %s: %v, status %d, %s", try, d.name, err, r.status, r.body)
 		time.Sleep(200 * time.Millisecond)
 	}
-	return last
+	return lastErr
 }
 
 func checkErrors(t *testing.T, errs []error) {
--- a/proof/fleet_test.go
+++ b/proof/fleet_test.go
@@ -18,14 +18,14 @@
 	"primroseward/standin/platform"
 )
 
-// The whole path through the platform: callers find daemons, daemons find
-// runners, requests and streams come back unchanged, and refusals are told
-// apart from routes that do not exist.
+// TestFleetServes checks the whole path through the platform: callers find daemons in the
+// directory, daemons find runners, and requests and streams come back unchanged. An unknown
+// route is answered with 404, so that callers can tell it from a refusal.
 func TestFleetServes(t *testing.T) {
 	c := startFleet(t, 2)
 	d := c.daemons[0]
 	poll.WaitOn(t, func(poll.LogT) poll.Result {
-		if got := c.addresses(d); len(got) != 2 || got[0] != d.caller {
+		if got := c.directoryAddresses(d); len(got) != 2 || got[0] != d.callerAddr {
 			return poll.Continue("%v", got)
 		}
 		return poll.Success()
@@ -33,16 +33,16 @@
 	status, body, err := d.send("/order/a%2Fb?x=1", "belt", "")
 	assert.NilError(t, err)
 	assert.Equal(t, status, http.StatusOK)
-	assert.Equal(t, body, "i-app-1 /order/a%2Fb?x=1 belt", "served in its own place")
+	assert.Equal(t, body, "i-app-1 /order/a%2Fb?x=1 belt", "served in the daemon's own data centre")
 	status, body, err = d.send("/gen/x", "", "m2")
 	assert.NilError(t, err)
 	assert.Equal(t, status, http.StatusOK)
-	assert.Equal(t, body, wholeStream(20))
+	assert.Equal(t, body, fullStream(20))
 	status, _, err = d.send("/none/x", "", "")
 	assert.NilError(t, err)
 	assert.Equal(t, status, http.StatusNotFound)
 	poll.WaitOn(t, func(poll.LogT) poll.Result {
-		resp, err := http.Get("http://" + d.admin + "/metrics")
+		resp, err := http.Get("http://" + d.adminAddr + "/metrics")
 		if err != nil {
 			return poll.Error(err)
 		}
@@ -57,38 +57,40 @@
 	})
 }
 
-// An adapter and a model that no runner has are fetched because they are asked
-// for, and the request for the adapter is served.
-func TestFleetFetchesWhatIsAskedFor(t *testing.T) {
+// TestFleetLoadsModelsAndAdaptersOnDemand checks that an adapter and a model that no runner
+// has are loaded because there are requests for them, and that the request for the adapter
+// is served.
+func TestFleetLoadsModelsAndAdaptersOnDemand(t *testing.T) {
 	c := startFleet(t, 2)
 	poll.WaitOn(t, func(poll.LogT) poll.Result {
 		status, body, err := c.daemons[1].send("/gen/x", "", "m1/a3")
 		if err != nil || status != http.StatusOK {
 			return poll.Continue("%d %v", status, err)
 		}
-		assert.Equal(t, body, wholeStream(20))
+		assert.Equal(t, body, fullStream(20))
 		return poll.Success()
 	}, poll.WithTimeout(15*time.Second))
 	assert.Assert(t, c.runners[0].Holds("m1", "a3") || c.runners[1].Holds("m1", "a3"))
 }
 
-// A stream that its runner breaks off goes on at another one, with each event
-// once; an order that a runner may have carried out is not sent again.
-func TestFleetRunnerDies(t *testing.T) {
+// TestFleetRunnerFails checks that a stream that its runner cuts continues at another
+// runner, with each event once, and that an order that a runner may have carried out is not
+// sent again.
+func TestFleetRunnerFails(t *testing.T) {
 	c := startFleet(t, 1)
 	d := c.daemons[0]
 	c.runners[0].CutNext(5)
 	c.runners[1].CutNext(9)
 	status, body, err := d.send("/gen/x", "", "m1")
 	assert.Equal(t, status, http.StatusOK)
-	assert.Assert(t, err != nil || body == wholeStream(20))
+	assert.Assert(t, err != nil || body == fullStream(20))
 	c.runners[0].CutNext(0)
 	c.runners[1].CutNext(0)
 	c.runners[0].CutNext(5)
 	status, body, err = d.send("/gen/x", "", "m1")
 	assert.NilError(t, err)
 	assert.Equal(t, status, http.StatusOK)
-	assert.Equal(t, body, wholeStream(20))
+	assert.Equal(t, body, fullStream(20))
 	c.runners[2].Kill()
 	for range 5 {
 		before := c.runsOf("app")
@@ -99,7 +101,8 @@
 	}
 }
 
-// A runner that reports that it leaves gets no work a moment later.
+// TestFleetRunnerDrains checks that a runner that reports that it is leaving gets no new
+// requests one second later.
 func TestFleetRunnerDrains(t *testing.T) {
 	c := startFleet(t, 1)
 	d := c.daemons[0]
@@ -114,8 +117,9 @@
 	assert.Equal(t, len(c.runners[2].Runs()), before)
 }
 
-// A configuration is in force at all daemons a moment after it was stored; one
-// that does not reach the store keeps serving what it knows.
+// TestFleetConfigAndOutage checks that a configuration is in force at all daemons a moment
+// after it was stored, and that a daemon that cannot reach the store goes on serving with
+// the configuration that it has.
 func TestFleetConfigAndOutage(t *testing.T) {
 	c := startFleet(t, 2)
 	c.put(wire.KindConfig, wire.NameConfig, fleetConfig(2, "/new/"))
@@ -140,8 +144,9 @@
 	c.store.SetFaults(platform.Faults{})
 }
 
-// A planned stop cuts nothing: the stream in progress ends whole, the directory
-// stops handing out the daemon, and new requests find another.
+// TestFleetStopsGracefully checks that a planned stop cuts nothing: the stream in progress
+// ends complete, the directory no longer returns the stopping daemon, and new requests are
+// served by another one.
 func TestFleetStopsGracefully(t *testing.T) {
 	c := startFleet(t, 2)
 	leaving, staying := c.daemons[0], c.daemons[1]
@@ -163,16 +168,16 @@
 	})
 	assert.NilError(t, leaving.cmd.Process.Signal(syscall.SIGTERM))
 	poll.WaitOn(t, func(poll.LogT) poll.Result {
-		if got := c.addresses(staying); len(got) != 1 || got[0] != staying.caller {
+		if got := c.directoryAddresses(staying); len(got) != 1 || got[0] != staying.callerAddr {
 			return poll.Continue("%v", got)
 		}
 		return poll.Success()
 	}, poll.WithTimeout(20*time.Second))
-	c.await(leaving, http.StatusServiceUnavailable)
+	c.awaitReadyStatus(leaving, http.StatusServiceUnavailable)
 	got := <-done
 	assert.NilError(t, got.err)
 	assert.Equal(t, got.status, http.StatusOK)
-	assert.Equal(t, got.body, wholeStream(20))
+	assert.Equal(t, got.body, fullStream(20))
 	state, err := leaving.cmd.Process.Wait()
 	assert.NilError(t, err)
 	assert.Assert(t, state.Success(), "%v", state)
@@ -181,8 +186,9 @@
 	assert.Equal(t, status, http.StatusOK)
 }
 
-// The settings file changes, and a process that is told so is gone. It reads the
-// file, keeps what it has where the file has faults, and goes on serving.
+// TestFleetReloads guards against a daemon that exits on SIGHUP after its settings file has
+// changed. It must read the file again, keep the settings in force if the file has faults,
+// and go on serving.
 func TestFleetReloads(t *testing.T) {
 	c := startFleet(t, 1)
 	d := c.daemons[0]
@@ -209,14 +215,15 @@
 	assert.Equal(t, status, http.StatusOK)
 }
 
-// Regulated data is served in a place that operators have taken away, because the
-// platform's configuration knows no places. Operators narrow a service in the
-// settings tree, in the store as on this platform nobody calls a daemon to edit;
-// from then on no request of any kind is served elsewhere: not after a restart, not
-// during an outage of the store, not by a daemon that knows no settings yet.
+// TestFleetKeepsToTheSettingsTree guards against regulated data being served in a data
+// centre that operators have excluded, because the platform's configuration has no data
+// centres. Operators narrow a service in the settings tree, by a write to the store, as on
+// this platform daemons accept no edits. From then on no request of any kind may be served
+// elsewhere: not after a restart, not during an outage of the store, not by a daemon that
+// has no settings yet.
 func TestFleetKeepsToTheSettingsTree(t *testing.T) {
 	c := startFleet(t, 3)
-	out, code := c.ctl(c.daemons[0], `{"set":{"places":["south"]}}`, "tree", "set", "/service/app", "-f", "-", "--wait", "20s")
+	out, code := c.primrosectl(c.daemons[0], `{"set":{"places":["south"]}}`, "tree", "set", "/service/app", "-f", "-", "--wait", "20s")
 	assert.Equal(t, code, 0, out)
 	assert.Assert(t, strings.Contains(out, "in force at 3 members"), out)
 	onlySouth := func() {
@@ -231,38 +238,39 @@
 		}
 	}
 	onlySouth()
-	out, code = c.ctl(c.daemons[1], "", "tree", "explain", "-s", "app", "-p", "north")
+	out, code = c.primrosectl(c.daemons[1], "", "tree", "explain", "-s", "app", "-p", "north")
 	assert.Equal(t, code, 0, out)
 	assert.Assert(t, strings.Contains(out, "allowed false"), out)
-	out, code = c.ctl(c.daemons[1], `{"set":{"places":["west"]}}`, "tree", "set", "/service/unknown", "-f", "-")
+	out, code = c.primrosectl(c.daemons[1], `{"set":{"places":["west"]}}`, "tree", "set", "/service/unknown", "-f", "-")
 	assert.Equal(t, code, 3, out)
-	out, code = c.ctl(c.daemons[1], "", "tree", "history", "/service/app")
+	out, code = c.primrosectl(c.daemons[1], "", "tree", "history", "/service/app")
 	assert.Assert(t, code == 0 && strings.Contains(out, "nino"), out)
-	assert.Equal(t, call(adminClient, http.MethodPut, "http://"+c.daemons[0].admin+"/admin/tree?path=/", map[string]int{}, nil), http.StatusForbidden,
+	assert.Equal(t, callJSON(adminClient, http.MethodPut, "http://"+c.daemons[0].adminAddr+"/admin/tree?path=/", map[string]int{}, nil), http.StatusForbidden,
 		"a daemon without a token takes no edits")
 	c.daemons[0].restart(c)
-	c.await(c.daemons[0], http.StatusOK)
+	c.awaitReadyStatus(c.daemons[0], http.StatusOK)
 	onlySouth()
 	c.store.SetFaults(platform.Faults{Down: true})
 	c.daemons[2].restart(c)
-	c.await(c.daemons[2], http.StatusOK) // by another daemon's copies
+	c.awaitReadyStatus(c.daemons[2], http.StatusOK) // ready through another daemon's snapshot of the store
 	onlySouth()
 	c.store.SetFaults(platform.Faults{})
 }
 
-// A model that may be served in one place only is gone with the place's only copy,
-// and operators' narrowing makes it unreachable: it must be loaded where requests
-// for it may be served.
+// TestFleetLoadsWhereRequestsMayBeServed guards against a model that cannot be served any
+// more after operators have narrowed it to a data centre without a replica, or after the
+// only replica in its data centre is lost. It must be loaded where requests for it may be
+// served.
 func TestFleetLoadsWhereRequestsMayBeServed(t *testing.T) {
 	c := startFleet(t, 2)
-	out, code := c.ctl(c.daemons[0], `{"set":{"places":["north"]}}`, "tree", "set", "/service/gen/model/m2", "-f", "-", "--wait", "20s")
+	out, code := c.primrosectl(c.daemons[0], `{"set":{"places":["north"]}}`, "tree", "set", "/service/gen/model/m2", "-f", "-", "--wait", "20s")
 	assert.Equal(t, code, 0, out)
 	poll.WaitOn(t, func(poll.LogT) poll.Result {
 		status, body, err := c.daemons[0].send("/gen/x", "", "m2")
 		if err != nil || status != http.StatusOK {
 			return poll.Continue("%d %v", status, err)
 		}
-		assert.Equal(t, body, wholeStream(20))
+		assert.Equal(t, body, fullStream(20))
 		return poll.Success()
 	}, poll.WithTimeout(20*time.Second))
 	assert.Assert(t, c.runners[0].Holds("m2", ""))
