--- a/bench/fleet/fleet.go
+++ b/bench/fleet/fleet.go
@@ -1,5 +1,5 @@
-// Package fleet starts daemons as processes on loopback, with stand-ins of the
-// systems around them in its own process, for measurements.
+// Package fleet starts daemons as processes on loopback for measurements. The stand-ins for
+// the systems around them run in the calling process.
 package fleet
 
 import (
@@ -24,35 +24,35 @@
 
 // Daemon is one primrosed process.
 type Daemon struct {
-	Name   string
-	Place  string
-	Caller string
-	Peer   string
-	Admin  string
-	cmd    *exec.Cmd
+	Name       string
+	DataCentre string
+	Caller     string
+	Peer       string
+	Admin      string
+	cmd        *exec.Cmd
 }
 
-// Fleet is a system with its surroundings.
+// Fleet is a set of daemons with a stand-in platform and further stand-ins.
 type Fleet struct {
-	Platform *platform.Server
-	Daemons  []*Daemon
-	dir      string
-	addr     string
-	servers  []*http.Server
+	Platform     *platform.Server
+	Daemons      []*Daemon
+	dir          string
+	platformAddr string
+	servers      []*http.Server
 }
 
-// New starts a platform and n daemons spread over places.
-func New(binary string, n int, places []string) (*Fleet, error) {
+// New starts a platform and n daemons, which it assigns to the data centres in turn.
+func New(binary string, n int, dataCentres []string) (*Fleet, error) {
 	dir, err := os.MkdirTemp("", "fleet")
 	if err != nil {
 		return nil, err
 	}
 	f := &Fleet{Platform: platform.New(), dir: dir}
-	if f.addr, err = f.Serve(f.Platform); err != nil {
+	if f.platformAddr, err = f.Serve(f.Platform); err != nil {
 		return nil, err
 	}
 	for i := range n {
-		d := &Daemon{Name: fmt.Sprintf("vm-%d", i+1), Place: places[i%len(places)]}
+		d := &Daemon{Name: fmt.Sprintf("vm-%d", i+1), DataCentre: dataCentres[i%len(dataCentres)]}
 		for _, addr := range []*string{&d.Caller, &d.Peer, &d.Admin} {
 			if *addr, err = FreePort(); err != nil {
 				return nil, err
@@ -68,7 +68,7 @@
 	return f, nil
 }
 
-// Serve runs a stand-in and returns its address.
+// Serve serves a stand-in on a loopback port and returns its address.
 func (f *Fleet) Serve(h http.Handler) (string, error) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -82,8 +82,8 @@
 
 func (f *Fleet) start(binary string, d *Daemon) error {
 	file := map[string]any{
-		"name": d.Name, "place": d.Place, "caller": d.Caller, "peer": d.Peer, "admin": d.Admin,
-		"platform": f.addr, "seeds": []string{f.Daemons[0].Peer, f.Daemons[len(f.Daemons)/2].Peer}, "log": map[string]any{"level": "error"},
+		"name": d.Name, "place": d.DataCentre, "caller": d.Caller, "peer": d.Peer, "admin": d.Admin,
+		"platform": f.platformAddr, "seeds": []string{f.Daemons[0].Peer, f.Daemons[len(f.Daemons)/2].Peer}, "log": map[string]any{"level": "error"},
 	}
 	data, err := json.Marshal(file)
 	if err != nil {
@@ -98,7 +98,7 @@
 	return d.cmd.Start()
 }
 
-// Close kills the daemons and ends the stand-ins.
+// Close kills the daemons, stops the stand-ins and removes the settings files.
 func (f *Fleet) Close() {
 	for _, d := range f.Daemons {
 		if d.cmd != nil && d.cmd.Process != nil {
@@ -112,7 +112,8 @@
 	_ = os.RemoveAll(f.dir)
 }
 
-// Call calls a daemon's admin listener.
+// Call sends a request with a JSON body to a daemon's admin listener. The answer goes into
+// out unless that is nil; any status but 200 is an error.
 func (d *Daemon) Call(method, path string, in, out any) error {
 	data, err := json.Marshal(in)
 	if err != nil {
@@ -140,34 +141,34 @@
 	return json.Unmarshal(body, out)
 }
 
-// Until waits for a condition for at most a minute.
-func Until(ok func() bool) error {
+// WaitUntil polls a condition every 100 ms until it is true, for about a minute at most.
+func WaitUntil(ok func() bool) error {
 	for range 600 {
 		if ok() {
 			return nil
 		}
 		time.Sleep(100 * time.Millisecond)
 	}
-	return fmt.Errorf("not within a minute")
+	return fmt.Errorf("condition not met within a minute")
 }
 
 // Apply writes a tree and waits until it is in force at all daemons.
 func (f *Fleet) Apply(root *tree.Node) error {
 	first := f.Daemons[0]
-	if err := Until(func() bool { return first.Call(http.MethodPost, "/admin/tree", root, nil) == nil }); err != nil {
+	if err := WaitUntil(func() bool { return first.Call(http.MethodPost, "/admin/tree", root, nil) == nil }); err != nil {
 		return fmt.Errorf("tree: %w", err)
 	}
-	return Until(func() bool { return f.InForce() })
+	return WaitUntil(func() bool { return f.InForce() })
 }
 
-// InForce says whether all daemons are members and have the newest settings.
+// InForce reports whether all daemons are members and have the newest settings.
 func (f *Fleet) InForce() bool {
 	var s service.Status
 	err := f.Daemons[0].Call(http.MethodGet, "/admin/status", nil, &s)
 	return err == nil && s.InForce && len(s.Members) == len(f.Daemons)
 }
 
-// Usage is what a process has used.
+// Usage is the processor time and memory that a process has used.
 type Usage struct {
 	CPU time.Duration
 	RSS int64 // bytes
@@ -175,7 +176,7 @@
 
 const ticksPerSecond = 100 // USER_HZ on Linux
 
-// Usage reads a daemon's use of processor and memory from the kernel.
+// Usage reads a daemon's processor time and memory from the kernel.
 func (d *Daemon) Usage() (Usage, error) {
 	data, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", d.cmd.Process.Pid))
 	if err != nil {
@@ -189,7 +190,7 @@
 	return Usage{CPU: time.Duration(user+system) * time.Second / ticksPerSecond, RSS: pages * int64(os.Getpagesize())}, nil
 }
 
-// Metric reads a counter of a daemon, summed over its tags.
+// Metric returns a counter of a daemon, summed over its labels.
 func (d *Daemon) Metric(name string) (float64, error) {
 	resp, err := http.Get("http://" + d.Admin + "/metrics")
 	if err != nil {
--- a/bench/fleet/ports.go
+++ b/bench/fleet/ports.go
@@ -12,33 +12,33 @@
 	"syscall"
 )
 
-// Ports below those that the kernel gives to outgoing connections: one of these
-// would be taken while the daemon that should listen there is down.
+// minPort and maxPort bound the ports. They lie below those that the kernel gives to outgoing
+// connections, as such a connection could take the port of a daemon while the daemon is down.
 const (
-	lowPort  = 12000
-	highPort = 32000
-	maxPorts = 1000 // tries
+	minPort  = 12000
+	maxPort  = 32000
+	maxTries = 1000 // ports tried before FreePort gives up
 )
 
 var errNoPort = errors.New("no free port")
 
-// reserved are the ports that this process has been given. Their files stay open, and
-// with them their locks, until it ends.
+// reserved holds the lock files of the ports that this process has been given. They stay open,
+// and locked, until it exits.
 var reserved struct {
 	mu    sync.Mutex
 	files []*os.File
 }
 
-// FreePort returns an address on loopback that is free for TCP and UDP and that no
-// process has been given by FreePort before and may still use. That nobody listens there
-// is not enough: a daemon that has been given it may only be about to start, or down.
+// FreePort returns a loopback address that is free for TCP and UDP and is not reserved by a
+// running process that called FreePort. A check that nobody listens there is not enough, as
+// the daemon that the address was reserved for may be about to start, or down.
 func FreePort() (string, error) {
 	dir := filepath.Join(os.TempDir(), "primroseward-ports-"+strconv.Itoa(os.Getuid()))
 	if err := os.MkdirAll(dir, 0o700); err != nil {
 		return "", err
 	}
-	for range maxPorts {
-		port := lowPort + rand.IntN(highPort-lowPort)
+	for range maxTries {
+		port := minPort + rand.IntN(maxPort-minPort)
 		file, err := reserve(dir, port)
 		if err != nil {
 			return "", err
@@ -47,8 +47,8 @@
 			continue
 		}
 		addr := fmt.Sprintf("127.0.0.1:%d", port)
-		if !free(addr) {
-			_ = file.Close() // gives the port back
+		if !isFree(addr) {
+			_ = file.Close() // unlocks the port
 			continue
 		}
 		reserved.mu.Lock()
@@ -59,7 +59,7 @@
 	return "", errNoPort
 }
 
-// reserve locks the file of a port, which is nil if another one holds the lock.
+// reserve opens and locks the file of a port. The file is nil if its lock is held already.
 func reserve(dir string, port int) (*os.File, error) {
 	file, err := os.OpenFile(filepath.Join(dir, strconv.Itoa(port)), os.O_CREATE|os.O_RDWR, 0o600)
 	if err != nil {
@@ -76,8 +76,8 @@
 	return nil, err
 }
 
-// free says whether nobody listens at an address.
-func free(addr string) bool {
+// isFree reports whether an address is free for TCP and UDP.
+func isFree(addr string) bool {
 	tcp, err := net.Listen("tcp", addr)
 	if err != nil {
 		return false
--- a/bench/fleet/ports_test.go
+++ b/bench/fleet/ports_test.go
@@ -10,20 +10,20 @@
 	"gotest.tools/v3/assert"
 )
 
-// Two test runs on one machine are given the same port: nobody listens there yet as the
-// second one looks, and its daemon ends at its start.
+// Guards against two test runs on one machine getting the same port: nobody listens there yet
+// when the second one checks, and its daemon exits at the start.
 func TestPortIsGivenToOneProcess(t *testing.T) {
 	dir := t.TempDir()
-	first, err := reserve(dir, lowPort)
+	first, err := reserve(dir, minPort)
 	assert.NilError(t, err)
 	assert.Assert(t, first != nil)
-	second, err := reserve(dir, lowPort) // locks belong to open files, as of two processes
+	second, err := reserve(dir, minPort) // locks belong to open files, so a second file acts as another process
 	assert.NilError(t, err)
 	assert.Assert(t, second == nil)
 	assert.NilError(t, first.Close())
-	third, err := reserve(dir, lowPort)
+	third, err := reserve(dir, minPort)
 	assert.NilError(t, err)
-	assert.Assert(t, third != nil, "its process has ended")
+	assert.Assert(t, third != nil, "the lock was released")
 	assert.NilError(t, third.Close())
 }
 
--- a/bench/overhead/main.go
+++ b/bench/overhead/main.go
@@ -1,6 +1,6 @@
-// Command overhead measures what the system adds to a request: the same short
-// model request straight to the engine, through the daemon that owns its runner
-// (one hop) and through another daemon (two hops), in turn, in one run.
+// Command overhead measures the latency and the processor time that the system adds to a
+// request. In one run it sends the same short model request in turn directly to the engine,
+// through the daemon that owns its runner (one hop) and through another daemon (two hops).
 package main
 
 import (
@@ -26,10 +26,10 @@
 )
 
 const (
-	requests = 3000
-	workers  = 64
-	loadFor  = 5 * time.Second
-	oneGB    = 1000 * 1000 * 1000
+	requests     = 3000
+	workers      = 64
+	loadDuration = 5 * time.Second
+	oneGB        = 1000 * 1000 * 1000
 
 	streams      = 100
 	streamTokens = 200
@@ -63,10 +63,10 @@
 	if err != nil {
 		return err
 	}
-	places := []string{"a"}
-	limit := 100000
+	dataCentres := []string{"a"}
+	concurrency := 100000
 	err = f.Apply(&tree.Node{
-		Set:   tree.Settings{Places: &places, Concurrency: limit},
+		Set:   tree.Settings{Places: &dataCentres, Concurrency: concurrency},
 		Store: &tree.Store{Rate: 1, Slots: 1, Pause: true},
 		Endpoints: map[string]tree.Endpoint{
 			"e": {Addr: addr, Place: "a", Kind: tree.KindModel, Memory: 80 * oneGB, Slots: 256},
@@ -80,35 +80,35 @@
 	if err != nil {
 		return err
 	}
-	near, far, err := owner(f, "e")
+	near, far, err := waitForOwner(f, "e")
 	if err != nil {
 		return err
 	}
-	nearSlow, farSlow, err := owner(f, "s")
+	nearSlow, farSlow, err := waitForOwner(f, "s")
 	if err != nil {
 		return err
 	}
 	targets := []target{{"direct", addr}, {"1 hop", near.Caller}, {"2 hops", far.Caller}}
-	if err := latency(targets); err != nil {
+	if err := measureLatency(targets); err != nil {
 		return err
 	}
-	if err := throughput(f, []target{targets[1], targets[2]}); err != nil {
+	if err := measureThroughput(f, []target{targets[1], targets[2]}); err != nil {
 		return err
 	}
-	return streaming(f, []target{{"direct", slowAddr}, {"1 hop", nearSlow.Caller}, {"2 hops", farSlow.Caller}})
+	return measureStreaming(f, []target{{"direct", slowAddr}, {"1 hop", nearSlow.Caller}, {"2 hops", farSlow.Caller}})
 }
 
-// streaming reads many streams at once and measures the gaps between tokens
-// and the daemons' processor time for each.
-func streaming(f *fleet.Fleet, targets []target) error {
+// measureStreaming reads many streams at once over each path and measures the gaps between
+// tokens and the daemons' processor time per token.
+func measureStreaming(f *fleet.Fleet, targets []target) error {
 	fmt.Printf("\n%d streams of %d tokens at once, a token each %s\n\n", streams, streamTokens, tokenGap)
 	fmt.Println("| path | tokens/s | gap median ms | gap p95 ms | gap p99 ms | daemons' CPU per token, us |")
 	fmt.Println("|---|---|---|---|---|---|")
 	for _, t := range targets {
-		if _, err := readStream(t.addr); err != nil { // warms the path up
+		if _, err := readStream(t.addr); err != nil { // opens the connections before the measurement
 			return err
 		}
-		before := cpu(f)
+		before := daemonsCPU(f)
 		began := time.Now()
 		var mu sync.Mutex
 		var gaps []time.Duration
@@ -135,7 +135,7 @@
 		tokens := float64(len(gaps))
 		fmt.Printf("| %s | %.0f | %.2f | %.2f | %.2f | %.1f |\n", t.name, tokens/time.Since(began).Seconds(),
 			ms(gaps[len(gaps)/2]), ms(gaps[len(gaps)*95/100]), ms(gaps[len(gaps)*99/100]),
-			float64((cpu(f)-before).Microseconds())/tokens)
+			float64((daemonsCPU(f)-before).Microseconds())/tokens)
 	}
 	return nil
 }
@@ -168,12 +168,13 @@
 	return gaps, io.ErrUnexpectedEOF
 }
 
+// target is a path to an engine: the address that requests are sent to.
 type target struct{ name, addr string }
 
-// owner waits until the runner is known everywhere and returns the daemon that
-// owns it, and the other one.
-func owner(f *fleet.Fleet, runner string) (near, far *fleet.Daemon, err error) {
-	err = fleet.Until(func() bool {
+// waitForOwner waits until the runner is listed and both daemons serve requests for model m. It
+// returns the daemon that owns the runner, and the other one.
+func waitForOwner(f *fleet.Fleet, runner string) (near, far *fleet.Daemon, err error) {
+	err = fleet.WaitUntil(func() bool {
 		var runners []service.RunnerStatus
 		if f.Daemons[0].Call(http.MethodGet, "/admin/runners", nil, &runners) != nil {
 			return false
@@ -186,12 +187,13 @@
 		if runners[at].Owner == far.Name {
 			near, far = far, near
 		}
-		return ask(near.Caller) == nil && ask(far.Caller) == nil
+		return sendRequest(near.Caller) == nil && sendRequest(far.Caller) == nil
 	})
 	return near, far, err
 }
 
-func ask(addr string) error {
+// sendRequest sends one request and returns an error unless the answer is 200.
+func sendRequest(addr string) error {
 	req, err := http.NewRequest(http.MethodPost, "http://"+addr+"/v1/chat/completions", bytes.NewReader([]byte(body)))
 	if err != nil {
 		return err
@@ -209,14 +211,14 @@
 	return err
 }
 
-// latency asks the targets in turn, so that drift of the machine's speed falls
-// on all alike.
-func latency(targets []target) error {
+// measureLatency sends requests to the targets in turn, so that drift of the machine's speed
+// affects all of them alike. The first 200 rounds are not counted.
+func measureLatency(targets []target) error {
 	times := make([][]time.Duration, len(targets))
 	for i := range requests + 200 {
 		for k, t := range targets {
 			began := time.Now()
-			if err := ask(t.addr); err != nil {
+			if err := sendRequest(t.addr); err != nil {
 				return fmt.Errorf("%s: %w", t.name, err)
 			}
 			if i >= 200 {
@@ -238,24 +240,26 @@
 	return nil
 }
 
+// ms converts a duration to milliseconds.
 func ms(d time.Duration) float64 { return float64(d) / float64(time.Millisecond) }
 
-// throughput loads a path and divides by the processor time of the daemons.
-func throughput(f *fleet.Fleet, targets []target) error {
+// measureThroughput sends requests over each path from concurrent workers and prints the
+// rate, and the requests per second of processor time of the daemons.
+func measureThroughput(f *fleet.Fleet, targets []target) error {
 	fmt.Println("\n| path | requests/s | requests/s per core of the daemons |")
 	fmt.Println("|---|---|---|")
 	for _, t := range targets {
-		before := cpu(f)
+		before := daemonsCPU(f)
 		var n atomic.Int64
 		var failed atomic.Int64
 		var wg sync.WaitGroup
-		stop := time.Now().Add(loadFor)
+		stop := time.Now().Add(loadDuration)
 		for range workers {
 			wg.Add(1)
 			go func() {
 				defer wg.Done()
 				for time.Now().Before(stop) {
-					if ask(t.addr) != nil {
+					if sendRequest(t.addr) != nil {
 						failed.Add(1)
 						continue
 					}
@@ -264,16 +268,17 @@
 			}()
 		}
 		wg.Wait()
-		used := cpu(f) - before
+		used := daemonsCPU(f) - before
 		if failed.Load() > 0 {
 			fmt.Printf("%s: %d requests failed\n", t.name, failed.Load())
 		}
-		fmt.Printf("| %s | %.0f | %.0f |\n", t.name, float64(n.Load())/loadFor.Seconds(), float64(n.Load())/used.Seconds())
+		fmt.Printf("| %s | %.0f | %.0f |\n", t.name, float64(n.Load())/loadDuration.Seconds(), float64(n.Load())/used.Seconds())
 	}
 	return nil
 }
 
-func cpu(f *fleet.Fleet) time.Duration {
+// daemonsCPU returns the processor time that all daemons have used so far.
+func daemonsCPU(f *fleet.Fleet) time.Duration {
 	var sum time.Duration
 	for _, d := range f.Daemons {
 		if u, err := d.Usage(); err == nil {
--- a/bench/policy/demand.go
+++ b/bench/policy/demand.go
@@ -6,21 +6,22 @@
 	"time"
 )
 
-// curve is a model's demand over time: its own level, moved up and down by up
-// to tenfold within an hour along straight lines between random knots.
+// curve is a model's demand over time. Its level is multiplied by a factor that changes
+// linearly between random knots, by up to tenfold within an hour.
 type curve struct {
 	level float64
 	knots []knot
 }
 
+// knot is the factor at one time.
 type knot struct {
 	at     time.Duration
 	factor float64
 }
 
-// newCurve draws a curve of the given length. Knots lie 10 to 40 minutes
-// apart; a factor is drawn evenly on a logarithmic scale between 0.3 and 3.2,
-// so that two neighbours may be a factor of ten apart.
+// newCurve draws a curve of the given length. Knots lie 10 to 40 minutes apart. Factors are
+// distributed uniformly on a logarithmic scale between 0.3 and 3.2, so that the factors of two
+// successive knots may differ tenfold.
 func newCurve(rng *rand.Rand, level float64, length time.Duration) curve {
 	c := curve{level: level}
 	for at := time.Duration(0); at < length+time.Hour; {
@@ -30,7 +31,7 @@
 	return c
 }
 
-// rate is the demand in requests per second.
+// rate returns the demand in requests per second.
 func (c curve) rate(at time.Duration) float64 {
 	for i := 1; i < len(c.knots); i++ {
 		a, b := c.knots[i-1], c.knots[i]
@@ -42,7 +43,7 @@
 	return c.level
 }
 
-// poisson draws a count with the given mean.
+// poisson draws a number from the Poisson distribution with the given mean.
 func poisson(rng *rand.Rand, mean float64) int {
 	limit := math.Exp(-mean)
 	n := 0
--- a/bench/policy/main.go
+++ b/bench/policy/main.go
@@ -1,7 +1,6 @@
-// Command policy measures the placement policy against baselines in virtual
-// time: the planner, the routing decision, the queues and the admission rule
-// are the daemon's own; runners, demand and faults are made up from a seed.
-// It prints the tables of docs/POLICY.md.
+// Command policy compares the placement policy with baselines in virtual time. The planner,
+// the routing decision, the queues and the admission rule are the daemon's own; runners,
+// demand and faults are simulated from a seed. It prints the tables of docs/POLICY.md.
 package main
 
 import (
@@ -20,16 +19,18 @@
 )
 
 const (
-	length = 4 * time.Hour
-	seeds  = 2
+	simulatedTime = 4 * time.Hour
+	seedCount     = 2
 )
 
-type named struct {
+// namedVariant is a variant with the name of its row in the tables.
+type namedVariant struct {
 	name string
 	make func() variant
 }
 
-func plannedBy(change func(*planner.Policy)) func() variant {
+// plannerWith returns a constructor of the planner with a changed policy.
+func plannerWith(change func(*planner.Policy)) func() variant {
 	return func() variant {
 		p := planner.Default()
 		change(&p)
@@ -37,28 +38,30 @@
 	}
 }
 
-func variants() []named {
-	return []named{
-		{"chosen", plannedBy(func(*planner.Policy) {})},
-		{"static", func() variant { return &static{inner: planned{planner.Default()}, held: map[string][]string{}} }},
+// variants returns the policy and the baselines.
+func variants() []namedVariant {
+	return []namedVariant{
+		{"chosen", plannerWith(func(*planner.Policy) {})},
+		{"static", func() variant { return &static{planner: planned{planner.Default()}, assigned: map[string][]string{}} }},
 		{"LRU on demand", func() variant { return lru{} }},
 	}
 }
 
-func ablations() []named {
-	return []named{
-		{"chosen", plannedBy(func(*planner.Policy) {})},
-		{"no second replica", plannedBy(func(p *planner.Policy) { p.NoSecond = true })},
-		{"no replica for demand", plannedBy(func(p *planner.Policy) { p.NoDemand = true })},
-		{"fast average alone", plannedBy(func(p *planner.Policy) { p.NoSlow = true })},
-		{"moves cost nothing", plannedBy(func(p *planner.Policy) { p.NoCost = true })},
-		{"most memory first", plannedBy(func(p *planner.Policy) { p.NoSpread = true })},
+// ablations returns the policy and variants of it with one part turned off each.
+func ablations() []namedVariant {
+	return []namedVariant{
+		{"chosen", plannerWith(func(*planner.Policy) {})},
+		{"no second replica", plannerWith(func(p *planner.Policy) { p.NoSecond = true })},
+		{"no replica for demand", plannerWith(func(p *planner.Policy) { p.NoDemand = true })},
+		{"fast average alone", plannerWith(func(p *planner.Policy) { p.NoSlow = true })},
+		{"moves cost nothing", plannerWith(func(p *planner.Policy) { p.NoCost = true })},
+		{"most memory first", plannerWith(func(p *planner.Policy) { p.NoSpread = true })},
 	}
 }
 
-// build makes a deployment's world. load is the share of all slots that the
-// mean demand fills.
-func build(file string, seed uint64, load float64, v variant) *world {
+// newWorld builds the simulation of a deployment. load is the fraction of all slots that the
+// mean demand occupies.
+func newWorld(file string, seed uint64, load float64, v variant) *world {
 	data, err := os.ReadFile("docs/samples/" + file)
 	if err != nil {
 		panic(err)
@@ -68,18 +71,18 @@
 		panic(err)
 	}
 	t := tree.New(tree.Split(root))
-	w := &world{rng: rand.New(rand.NewPCG(seed, 1)), variant: v, tree: t, byName: map[string]*served{}}
-	w.result = result{met: map[core.Class]int{}, asked: map[core.Class]int{}}
+	w := &world{rng: rand.New(rand.NewPCG(seed, 1)), variant: v, tree: t, byName: map[string]*simModel{}}
+	w.result = result{met: map[core.Class]int{}, requests: map[core.Class]int{}}
 	slots := 0
 	for i := range 64 {
 		for id, e := range t.Endpoints() {
 			if e.Kind == tree.KindModel && strings.HasSuffix(id, fmt.Sprintf("-%02d", i)) {
-				w.engines = append(w.engines, &engine{id: id, spec: e, used: map[string]time.Duration{}, queue: queue.New(), running: map[*request]bool{}, cost: firstCost})
+				w.runners = append(w.runners, &simRunner{id: id, spec: e, lastUsed: map[string]time.Duration{}, queue: queue.New(), running: map[*request]bool{}, cost: initialCost})
 				slots += e.Slots
 			}
 		}
 	}
-	w.result.engines = len(w.engines)
+	w.result.runners = len(w.runners)
 	var sum float64
 	levels := map[string]float64{}
 	for i, name := range t.Models() {
@@ -90,96 +93,97 @@
 		}
 		levels[name] = level
 		sum += level
-		eff := t.Effective(tree.Coord{Service: t.ServiceOf(name), Model: name})
-		w.models = append(w.models, &served{Model: m, class: eff.Class, target: eff.Target(eff.Class)})
+		effective := t.Effective(tree.Coord{Service: t.ServiceOf(name), Model: name})
+		w.models = append(w.models, &simModel{Model: m, class: effective.Class, target: effective.Target(effective.Class)})
 	}
 	const meanWork = 2.0 // seconds
 	for _, m := range w.models {
 		rate := load * float64(slots) / meanWork * levels[m.Name] / sum
-		m.curve = newCurve(w.rng, rate, length)
+		m.curve = newCurve(w.rng, rate, simulatedTime)
 		w.byName[m.Name] = m
 	}
 	return w
 }
 
-// faults are the same for every variant: a runner's death, a place's loss and
-// an hour without the platform.
-func (w *world) faults() {
-	w.after(60*time.Minute, func() { w.kill(w.engines[2]) })
-	w.after(75*time.Minute, func() { w.revive(w.engines[2]) })
-	lost := w.engines[1].spec.Place
-	w.after(100*time.Minute, func() {
-		for _, e := range w.engines {
+// scheduleFaults schedules the faults, which are the same for every variant: the exit of a
+// runner, the loss of a data centre and an hour without the platform.
+func (w *world) scheduleFaults() {
+	w.schedule(60*time.Minute, func() { w.failRunner(w.runners[2]) })
+	w.schedule(75*time.Minute, func() { w.restartRunner(w.runners[2]) })
+	lost := w.runners[1].spec.Place
+	w.schedule(100*time.Minute, func() {
+		for _, e := range w.runners {
 			if e.spec.Place == lost {
-				w.kill(e)
+				w.failRunner(e)
 			}
 		}
 	})
-	w.after(115*time.Minute, func() {
-		for _, e := range w.engines {
+	w.schedule(115*time.Minute, func() {
+		for _, e := range w.runners {
 			if e.spec.Place == lost {
-				w.revive(e)
+				w.restartRunner(e)
 			}
 		}
 	})
-	w.after(150*time.Minute, func() { w.outage = true })
-	w.after(210*time.Minute, func() { w.outage = false })
+	w.schedule(150*time.Minute, func() { w.outage = true })
+	w.schedule(210*time.Minute, func() { w.outage = false })
 }
 
+// simulate runs one variant with one seed in virtual time.
 func simulate(file string, seed uint64, load float64, v variant) result {
-	w := build(file, seed, load, v)
-	w.after(0, w.reportAll)
-	w.after(0, w.second)
+	w := newWorld(file, seed, load, v)
+	w.schedule(0, w.refreshReports)
+	w.schedule(0, w.generateDemand)
 	var tick func()
 	tick = func() {
 		w.variant.tick(w)
-		w.after(planEvery, tick)
+		w.schedule(planEvery, tick)
 	}
-	w.after(0, tick)
-	w.faults()
-	w.run(length)
+	w.schedule(0, tick)
+	w.scheduleFaults()
+	w.run(simulatedTime)
 	return w.result
 }
 
-// row joins the results of all seeds.
-func row(name, file string, load float64, build func() variant) string {
-	results := [seeds]result{}
+// tableRow simulates a variant with all seeds and returns the summary as a row of the table.
+func tableRow(name, file string, load float64, newVariant func() variant) string {
+	results := [seedCount]result{}
 	var wg sync.WaitGroup
-	for i := range seeds {
+	for i := range seedCount {
 		wg.Add(1)
 		go func() {
 			defer wg.Done()
-			results[i] = simulate(file, uint64(i+1), load, build())
+			results[i] = simulate(file, uint64(i+1), load, newVariant())
 		}()
 	}
 	wg.Wait()
-	met, asked := map[core.Class]int{}, map[core.Class]int{}
-	var moves, hours, peak float64
-	var dark time.Duration
-	total, wanted := 0, 0
+	met, requests := map[core.Class]int{}, map[core.Class]int{}
+	var moves, hours, peakMemory float64
+	var unavailable time.Duration
+	totalMet, totalRequests := 0, 0
 	for _, r := range results {
-		for c, n := range r.asked {
-			asked[c] += n
+		for c, n := range r.requests {
+			requests[c] += n
 			met[c] += r.met[c]
-			wanted += n
-			total += r.met[c]
+			totalRequests += n
+			totalMet += r.met[c]
 		}
 		moves += float64(r.moves)
 		hours += r.hours
-		dark += r.dark
-		peak = max(peak, r.peak)
+		unavailable += r.unavailable
+		peakMemory = max(peakMemory, r.peakMemory)
 	}
 	cells := []string{name}
 	for _, c := range core.Classes {
-		if asked[c] == 0 {
+		if requests[c] == 0 {
 			cells = append(cells, "-")
 			continue
 		}
-		cells = append(cells, fmt.Sprintf("%.2f%%", 100*float64(met[c])/float64(asked[c])))
+		cells = append(cells, fmt.Sprintf("%.2f%%", 100*float64(met[c])/float64(requests[c])))
 	}
-	perEngine := float64(total) / hours / float64(results[0].engines)
-	cells = append(cells, fmt.Sprintf("%.2f%%", 100*float64(total)/float64(wanted)), fmt.Sprintf("%.0f", perEngine),
-		fmt.Sprintf("%.1f", moves/hours), fmt.Sprintf("%.0f s", dark.Seconds()/seeds), fmt.Sprintf("%.3f", peak))
+	perRunner := float64(totalMet) / hours / float64(results[0].runners)
+	cells = append(cells, fmt.Sprintf("%.2f%%", 100*float64(totalMet)/float64(totalRequests)), fmt.Sprintf("%.0f", perRunner),
+		fmt.Sprintf("%.1f", moves/hours), fmt.Sprintf("%.0f s", unavailable.Seconds()/seedCount), fmt.Sprintf("%.3f", peakMemory))
 	return "| " + strings.Join(cells, " | ") + " |"
 }
 
@@ -191,7 +195,7 @@
 		for _, file := range []string{"registry.json", "cooperative.json"} {
 			fmt.Println(file)
 			for _, v := range variants() {
-				fmt.Println(row(v.name, file, 0.5, v.make))
+				fmt.Println(tableRow(v.name, file, 0.5, v.make))
 			}
 		}
 		return
@@ -200,7 +204,7 @@
 		for _, file := range []string{"registry.json", "cooperative.json"} {
 			fmt.Printf("\n### %s, mean load %.2f\n\n%s\n", strings.TrimSuffix(file, ".json"), load, header)
 			for _, v := range variants() {
-				fmt.Println(row(v.name, file, load, v.make))
+				fmt.Println(tableRow(v.name, file, load, v.make))
 			}
 		}
 	}
@@ -208,7 +212,7 @@
 	for _, file := range []string{"registry.json", "cooperative.json"} {
 		fmt.Printf("\n### %s\n\n%s\n", strings.TrimSuffix(file, ".json"), header)
 		for _, v := range ablations() {
-			fmt.Println(row(v.name, file, 0.5, v.make))
+			fmt.Println(tableRow(v.name, file, 0.5, v.make))
 		}
 	}
 }
--- a/bench/policy/variants.go
+++ b/bench/policy/variants.go
@@ -6,29 +6,30 @@
 	"primroseward/state/ledger"
 )
 
-// variant is one way to decide what is loaded where.
+// variant is a policy that decides which models are loaded on which runners.
 type variant interface {
-	// tick is called once a second.
+	// tick is called once per second of virtual time.
 	tick(w *world)
-	// refused is called when no runner takes a request.
-	refused(w *world, r *request)
+	// onRefusal is called when no runner accepts a request.
+	onRefusal(w *world, r *request)
 }
 
-// planned runs the planner.
+// planned loads and evicts as the planner decides.
 type planned struct{ policy planner.Policy }
 
 func (p planned) tick(w *world) {
 	if w.outage {
 		return
 	}
-	moves, _ := p.policy.Plan(w.state())
+	moves, _ := p.policy.Plan(w.plannerState())
 	for _, m := range moves {
-		apply(w, m)
+		applyMove(w, m)
 	}
 }
 
-func apply(w *world, m planner.Move) {
-	for _, e := range w.engines {
+// applyMove executes a move of the planner.
+func applyMove(w *world, m planner.Move) {
+	for _, e := range w.runners {
 		if e.id != m.Runner {
 			continue
 		}
@@ -40,28 +41,28 @@
 	}
 }
 
-func (planned) refused(*world, *request) {}
+func (planned) onRefusal(*world, *request) {}
 
-// static places models once, floors and second replicas, and only loads again
-// on a runner that returns what it held.
+// static places models with the planner during the warm-up, floors and second replicas.
+// After that it only loads again, on a runner that restarts, what the runner had.
 type static struct {
-	inner planned
-	held  map[string][]string // runner to models
+	planner  planned
+	assigned map[string][]string // models of each runner
 }
 
 func (s *static) tick(w *world) {
 	if w.now < warmUp {
-		s.inner.tick(w)
-		for _, e := range w.engines {
-			s.held[e.id] = nil
+		s.planner.tick(w)
+		for _, e := range w.runners {
+			s.assigned[e.id] = nil
 			for _, one := range e.entries {
-				s.held[e.id] = append(s.held[e.id], one.Model)
+				s.assigned[e.id] = append(s.assigned[e.id], one.Model)
 			}
 		}
 		return
 	}
-	for _, e := range w.engines {
-		for _, name := range s.held[e.id] {
+	for _, e := range w.runners {
+		for _, name := range s.assigned[e.id] {
 			m := w.byName[name]
 			if m.Base == "" || e.serves(w.byName[m.Base]) {
 				w.load(e, m, "static")
@@ -70,34 +71,36 @@
 	}
 }
 
-func (*static) refused(*world, *request) {}
+func (*static) onRefusal(*world, *request) {}
 
-// lru loads a model when it is asked for and not there, or when all that have
-// it are full, and makes room by evicting what was used least recently.
+// lru loads a model when a request for it arrives and no runner has it, or when all
+// runners that have it are full. It frees memory by evicting the models that were used least
+// recently.
 type lru struct{}
 
 func (lru) tick(w *world) {
 	for _, m := range w.models {
-		if len(m.parked) > 0 && !coming(w, m) {
+		if len(m.waiting) > 0 && !isLoading(w, m) {
 			lruLoad(w, m)
 		}
 	}
 }
 
-func (lru) refused(w *world, r *request) {
+func (lru) onRefusal(w *world, r *request) {
 	if w.now-r.at > r.target {
 		return
 	}
-	if !coming(w, r.model) {
+	if !isLoading(w, r.model) {
 		lruLoad(w, r.model)
 	}
 	if !w.ready(r.model) {
-		r.model.parked = append(r.model.parked, r)
+		r.model.waiting = append(r.model.waiting, r)
 	}
 }
 
-func coming(w *world, m *served) bool {
-	for _, e := range w.engines {
+// isLoading reports whether some runner is loading the model.
+func isLoading(w *world, m *simModel) bool {
+	for _, e := range w.runners {
 		if one := e.find(m.Name); one != nil && one.State == ledger.Loading {
 			return true
 		}
@@ -105,11 +108,12 @@
 	return false
 }
 
-// lruLoad loads a model on the runner with the least work that may have it.
-func lruLoad(w *world, m *served) {
-	var best *engine
-	for _, e := range w.engines {
-		if e.dead || !m.Places[e.spec.Place] || e.find(m.Name) != nil {
+// lruLoad loads a model on the runner with the fewest running and queued requests of those
+// that may serve it. Without such a runner, it loads the base of an adapter first.
+func lruLoad(w *world, m *simModel) {
+	var best *simRunner
+	for _, e := range w.runners {
+		if e.down || !m.Places[e.spec.Place] || e.find(m.Name) != nil {
 			continue
 		}
 		if m.Base != "" && !e.serves(w.byName[m.Base]) {
@@ -120,7 +124,7 @@
 		}
 	}
 	if best == nil {
-		if base := w.byName[m.Base]; base != nil && !w.ready(base) && !coming(w, base) {
+		if base := w.byName[m.Base]; base != nil && !w.ready(base) && !isLoading(w, base) {
 			lruLoad(w, base)
 		}
 		return
@@ -131,7 +135,9 @@
 	w.load(best, m, "on demand")
 }
 
-func lruEvict(w *world, e *engine, m *served) {
+// lruEvict evicts the least recently used models, with their adapters, until the runner will
+// have memory for a model. It never evicts the base of that model.
+func lruEvict(w *world, e *simRunner, m *simModel) {
 	free := e.capacity() - e.committed()
 	for _, one := range e.entries {
 		if one.State == ledger.Evicting || one.State == ledger.Quarantine {
@@ -142,7 +148,7 @@
 		var oldest *ledger.Entry
 		for i := range e.entries {
 			one := &e.entries[i]
-			if one.State == ledger.Ready && one.Model != m.Base && (oldest == nil || e.used[one.Model] < e.used[oldest.Model]) {
+			if one.State == ledger.Ready && one.Model != m.Base && (oldest == nil || e.lastUsed[one.Model] < e.lastUsed[oldest.Model]) {
 				oldest = one
 			}
 		}
--- a/bench/policy/world.go
+++ b/bench/policy/world.go
@@ -15,58 +15,58 @@
 )
 
 const (
-	reportEvery = 500 * time.Millisecond
-	planEvery   = time.Second
-	lostAfter   = 10 * time.Second // until a silent runner counts as lost
-	quarantine  = 35 * time.Second // on endpoints that ignore fencing numbers
-	warmUp      = 15 * time.Minute // not counted
-	firstCost   = time.Second
-	fastTime    = 10.0 // seconds
-	slowTime    = 600.0
+	reportEvery      = 500 * time.Millisecond
+	planEvery        = time.Second
+	lostAfter        = 10 * time.Second // from when a runner exits until the planner counts it as lost
+	lateOrderDelay   = 35 * time.Second // evicted memory stays reserved this long on endpoints that ignore fencing numbers
+	warmUp           = 15 * time.Minute // requests, moves and unavailability in it are not counted
+	initialCost      = time.Second
+	fastTimeConstant = 10.0 // seconds
+	slowTimeConstant = 600.0
 )
 
 var epoch = time.Unix(1e9, 0)
 
-// request is one request on its way.
+// request is one request with its state.
 type request struct {
-	model  *served
-	at     time.Duration
-	work   time.Duration
-	target time.Duration
-	class  core.Class
-	id     string
-	tries  map[*engine]bool
-	counts bool
+	model   *simModel
+	at      time.Duration
+	work    time.Duration
+	target  time.Duration
+	class   core.Class
+	id      string
+	tried   map[*simRunner]bool
+	counted bool
 }
 
-// served is a model with its demand.
-type served struct {
+// simModel is a model with its demand.
+type simModel struct {
 	planner.Model
-	curve      curve
-	class      core.Class
-	target     time.Duration
-	fast, slow float64
-	parked     []*request // waiting for a first replica, in the LRU variant
-	dark       time.Duration
+	curve       curve
+	class       core.Class
+	target      time.Duration
+	fast, slow  float64
+	waiting     []*request // requests that wait for a first replica, in the LRU variant
+	unavailable time.Duration
 }
 
-// engine is one runner.
-type engine struct {
-	id      string
-	spec    tree.Endpoint
-	entries []ledger.Entry
-	used    map[string]time.Duration // model to its latest request
-	queue   *queue.Queue
-	running map[*request]bool
-	cost    time.Duration
-	dead    bool
-	diedAt  time.Duration
-	boot    int
-	report  directory.Report
-	sent    int
+// simRunner is one simulated runner.
+type simRunner struct {
+	id        string
+	spec      tree.Endpoint
+	entries   []ledger.Entry
+	lastUsed  map[string]time.Duration // time of the latest request of each model
+	queue     *queue.Queue
+	running   map[*request]bool
+	cost      time.Duration
+	down      bool
+	downSince time.Duration
+	instance  int
+	report    directory.Report
+	sent      int
 }
 
-// event happens at a time; seq keeps the order of equal times.
+// event is a function that runs at a time; seq orders events of the same time.
 type event struct {
 	at  time.Duration
 	seq int
@@ -91,24 +91,24 @@
 	return one
 }
 
-// result is what a run is judged by.
+// result holds the figures of a run.
 type result struct {
-	met, asked map[core.Class]int
-	moves      int
-	dark       time.Duration // summed over models
-	peak       float64       // largest committed share of a runner's memory
-	hours      float64
-	engines    int
+	met, requests map[core.Class]int
+	moves         int
+	unavailable   time.Duration // time without a replica although a runner may serve the model, summed over models
+	peakMemory    float64       // largest fraction of a runner's memory that was committed
+	hours         float64
+	runners       int
 }
 
-// world is one deployment in virtual time.
+// world is the simulation of one deployment in virtual time.
 type world struct {
 	rng      *rand.Rand
 	variant  variant
 	tree     *tree.Tree
-	models   []*served
-	byName   map[string]*served
-	engines  []*engine
+	models   []*simModel
+	byName   map[string]*simModel
+	runners  []*simRunner
 	now      time.Duration
 	seq      int
 	events   events
@@ -119,11 +119,13 @@
 	nextID   int
 }
 
-func (w *world) after(d time.Duration, do func()) {
+// schedule runs do after d of virtual time.
+func (w *world) schedule(d time.Duration, do func()) {
 	w.seq++
 	heap.Push(&w.events, event{at: w.now + d, seq: w.seq, do: do})
 }
 
+// run executes the events up to a time and completes the result.
 func (w *world) run(length time.Duration) {
 	for len(w.events) > 0 {
 		e := heap.Pop(&w.events).(event)
@@ -135,40 +137,41 @@
 	}
 	w.result.hours = (length - warmUp).Hours()
 	for _, m := range w.models {
-		w.result.dark += m.dark
+		w.result.unavailable += m.unavailable
 	}
 }
 
 func (w *world) clock() time.Time { return epoch.Add(w.now) }
 
-// second draws a second's requests, and ages the averages of demand.
-func (w *world) second() {
+// generateDemand draws the requests of one second and updates the averages of demand.
+func (w *world) generateDemand() {
 	for _, m := range w.models {
 		n := poisson(w.rng, m.curve.rate(w.now))
-		m.fast += (float64(n) - m.fast) / fastTime
-		m.slow += (float64(n) - m.slow) / slowTime
+		m.fast += (float64(n) - m.fast) / fastTimeConstant
+		m.slow += (float64(n) - m.slow) / slowTimeConstant
 		for range n {
-			w.after(time.Duration(w.rng.Float64()*float64(time.Second)), func() { w.arrive(m) })
+			w.schedule(time.Duration(w.rng.Float64()*float64(time.Second)), func() { w.arrive(m) })
 		}
 		if w.now > warmUp && w.reachable(m) && !w.ready(m) {
-			m.dark += time.Second
+			m.unavailable += time.Second
 		}
 	}
-	w.after(time.Second, w.second)
+	w.schedule(time.Second, w.generateDemand)
 }
 
-// reachable says whether some live runner may serve the model at all.
-func (w *world) reachable(m *served) bool {
-	for _, e := range w.engines {
-		if !e.dead && m.Places[e.spec.Place] {
+// reachable reports whether some running runner is allowed to serve the model.
+func (w *world) reachable(m *simModel) bool {
+	for _, e := range w.runners {
+		if !e.down && m.Places[e.spec.Place] {
 			return true
 		}
 	}
 	return false
 }
 
-func (w *world) ready(m *served) bool {
-	for _, e := range w.engines {
+// ready reports whether some runner serves the model.
+func (w *world) ready(m *simModel) bool {
+	for _, e := range w.runners {
 		if e.serves(m) {
 			return true
 		}
@@ -176,7 +179,7 @@
 	return false
 }
 
-func (e *engine) find(model string) *ledger.Entry {
+func (e *simRunner) find(model string) *ledger.Entry {
 	for i := range e.entries {
 		if e.entries[i].Model == model {
 			return &e.entries[i]
@@ -185,12 +188,13 @@
 	return nil
 }
 
-func (e *engine) serves(m *served) bool {
+func (e *simRunner) serves(m *simModel) bool {
 	one := e.find(m.Name)
-	return !e.dead && one != nil && one.State == ledger.Ready
+	return !e.down && one != nil && one.State == ledger.Ready
 }
 
-func (e *engine) committed() int64 {
+// committed returns the bytes that loaded, loading and evicted models hold.
+func (e *simRunner) committed() int64 {
 	var sum int64
 	for _, one := range e.entries {
 		sum += one.Bytes
@@ -198,40 +202,40 @@
 	return sum
 }
 
-func (e *engine) capacity() int64 { return int64(e.spec.Memory - e.spec.Cache) }
+func (e *simRunner) capacity() int64 { return int64(e.spec.Memory - e.spec.Cache) }
 
-func (w *world) arrive(m *served) {
+func (w *world) arrive(m *simModel) {
 	w.nextID++
 	r := &request{
-		model: m, at: w.now, class: m.class, target: m.target, tries: map[*engine]bool{}, counts: w.now > warmUp,
+		model: m, at: w.now, class: m.class, target: m.target, tried: map[*simRunner]bool{}, counted: w.now > warmUp,
 		work: 500*time.Millisecond + time.Duration(w.rng.ExpFloat64()*float64(1500*time.Millisecond)),
 	}
 	r.id = time.Duration(w.nextID).String()
-	if r.counts {
-		w.result.asked[r.class]++
+	if r.counted {
+		w.result.requests[r.class]++
 	}
 	w.dispatch(r)
 }
 
-// dispatch offers the request to runners as an entry does: chosen by reports
-// that are up to half a second old, admitted or refused by exact queues.
+// dispatch sends the request to runners as an entry does: runners are chosen by reports that
+// are up to half a second old, and admit or refuse the request by their exact queues.
 func (w *world) dispatch(r *request) {
 	for {
 		var candidates []route.Candidate
-		var at []*engine
-		for _, e := range w.engines {
-			if e.serves(r.model) && !r.tries[e] {
+		var at []*simRunner
+		for _, e := range w.runners {
+			if e.serves(r.model) && !r.tried[e] {
 				candidates = append(candidates, route.Candidate{Report: e.report, Sent: e.sent})
 				at = append(at, e)
 			}
 		}
-		i := route.Ask{Place: w.engines[0].spec.Place}.Choose(candidates)
+		i := route.Ask{Place: w.runners[0].spec.Place}.Choose(candidates)
 		if i < 0 {
-			w.variant.refused(w, r)
+			w.variant.onRefusal(w, r)
 			return
 		}
 		e := at[i]
-		r.tries[e] = true
+		r.tried[e] = true
 		e.sent++
 		if w.admit(e, r) {
 			return
@@ -239,7 +243,8 @@
 	}
 }
 
-func (e *engine) wait(c core.Class) time.Duration {
+// expectedWait estimates how long a new request of a class waits for a slot.
+func (e *simRunner) expectedWait(c core.Class) time.Duration {
 	if len(e.running) < e.spec.Slots && e.queue.Len() == 0 {
 		return 0
 	}
@@ -250,19 +255,21 @@
 	return ahead / time.Duration(e.spec.Slots)
 }
 
-func (w *world) admit(e *engine, r *request) bool {
+// admit queues a request at a runner unless it would wait beyond its target.
+func (w *world) admit(e *simRunner, r *request) bool {
 	spent := w.now - r.at
-	if e.wait(r.class) > r.target-spent {
+	if e.expectedWait(r.class) > r.target-spent {
 		return false
 	}
-	e.used[r.model.Name] = w.now
+	e.lastUsed[r.model.Name] = w.now
 	e.queue.Push(&queue.Item{ID: r.id, Class: r.class, Deadline: epoch.Add(r.at + r.target), Cost: e.cost, Value: r}, w.clock())
-	w.pump(e)
+	w.startQueued(e)
 	return true
 }
 
-func (w *world) pump(e *engine) {
-	for len(e.running) < e.spec.Slots && !e.dead {
+// startQueued starts queued requests while the runner has free slots.
+func (w *world) startQueued(e *simRunner) {
+	for len(e.running) < e.spec.Slots && !e.down {
 		item := e.queue.Pop(w.clock())
 		if item == nil {
 			return
@@ -273,26 +280,26 @@
 			continue
 		}
 		e.running[r] = true
-		if r.counts && w.now-r.at <= r.target {
+		if r.counted && w.now-r.at <= r.target {
 			w.result.met[r.class]++
 		}
-		boot := e.boot
-		w.after(r.work, func() {
-			if e.boot != boot {
+		instance := e.instance
+		w.schedule(r.work, func() {
+			if e.instance != instance {
 				return
 			}
 			delete(e.running, r)
 			e.cost += time.Duration(0.2 * float64(r.work-e.cost))
-			w.settle(e)
-			w.pump(e)
+			w.freeEvicted(e)
+			w.startQueued(e)
 		})
 	}
 }
 
-// load starts a load, if the weight store takes one now.
-func (w *world) load(e *engine, m *served, reason string) bool {
+// load starts a load if the weight store accepts one now and the runner has the memory.
+func (w *world) load(e *simRunner, m *simModel, reason string) bool {
 	gap := time.Duration(float64(time.Second) / w.tree.Store().Rate)
-	if e.dead || w.outage || w.loading >= w.tree.Store().Slots || w.now < w.lastLoad+gap {
+	if e.down || w.outage || w.loading >= w.tree.Store().Slots || w.now < w.lastLoad+gap {
 		return false
 	}
 	if e.find(m.Name) != nil || e.committed()+m.Bytes > e.capacity() {
@@ -300,42 +307,43 @@
 	}
 	w.loading++
 	w.lastLoad = w.now
-	w.move()
+	w.countMove()
 	e.entries = append(e.entries, ledger.Entry{Model: m.Name, Version: m.Version, Bytes: m.Bytes, State: ledger.Loading, Reason: reason})
-	w.result.peak = max(w.result.peak, float64(e.committed())/float64(e.capacity()))
-	boot := e.boot
-	w.after(max(m.Load, 500*time.Millisecond), func() {
+	w.result.peakMemory = max(w.result.peakMemory, float64(e.committed())/float64(e.capacity()))
+	instance := e.instance
+	w.schedule(max(m.Load, 500*time.Millisecond), func() {
 		w.loading--
-		if one := e.find(m.Name); e.boot == boot && one != nil {
+		if one := e.find(m.Name); e.instance == instance && one != nil {
 			one.State = ledger.Ready
-			w.unpark(m)
+			w.dispatchWaiting(m)
 		}
 	})
 	return true
 }
 
-func (w *world) unpark(m *served) {
-	parked := m.parked
-	m.parked = nil
-	for _, r := range parked {
-		clear(r.tries)
+// dispatchWaiting dispatches the requests that waited for a first replica of the model.
+func (w *world) dispatchWaiting(m *simModel) {
+	waiting := m.waiting
+	m.waiting = nil
+	for _, r := range waiting {
+		clear(r.tried)
 		w.dispatch(r)
 	}
 }
 
-func (w *world) evict(e *engine, m *served) {
+func (w *world) evict(e *simRunner, m *simModel) {
 	one := e.find(m.Name)
 	if one == nil || one.State != ledger.Ready || w.outage {
 		return
 	}
-	w.move()
+	w.countMove()
 	one.State = ledger.Evicting
-	w.settle(e)
+	w.freeEvicted(e)
 }
 
-// settle frees evicted models that are idle; where fencing numbers are
-// ignored, their memory stays reserved until late orders are excluded.
-func (w *world) settle(e *engine) {
+// freeEvicted frees the memory of evicted models that run no request. On endpoints that ignore
+// fencing numbers it stays reserved until no late order can arrive any more.
+func (w *world) freeEvicted(e *simRunner) {
 	busy := map[string]bool{}
 	for r := range e.running {
 		busy[r.model.Name] = true
@@ -348,18 +356,18 @@
 		one.State = ledger.Quarantine
 		wait := time.Second
 		if !e.spec.Fenced {
-			wait = quarantine
+			wait = lateOrderDelay
 		}
-		name, boot := one.Model, e.boot
-		w.after(wait, func() {
-			if e.boot == boot {
-				e.drop(name)
+		name, instance := one.Model, e.instance
+		w.schedule(wait, func() {
+			if e.instance == instance {
+				e.removeEntry(name)
 			}
 		})
 	}
 }
 
-func (e *engine) drop(model string) {
+func (e *simRunner) removeEntry(model string) {
 	for i := range e.entries {
 		if e.entries[i].Model == model {
 			e.entries = append(e.entries[:i], e.entries[i+1:]...)
@@ -368,16 +376,18 @@
 	}
 }
 
-func (w *world) move() {
+// countMove counts a load or an eviction after the warm-up.
+func (w *world) countMove() {
 	if w.now > warmUp {
 		w.result.moves++
 	}
 }
 
-// kill ends a runner: what it held is lost and what it ran is tried elsewhere.
-func (w *world) kill(e *engine) {
-	e.dead, e.diedAt = true, w.now
-	e.boot++
+// failRunner makes a runner exit: its models are lost, and its requests are dispatched to
+// other runners.
+func (w *world) failRunner(e *simRunner) {
+	e.down, e.downSince = true, w.now
+	e.instance++
 	var lost []*request
 	for r := range e.running {
 		lost = append(lost, r)
@@ -388,37 +398,37 @@
 	e.running = map[*request]bool{}
 	e.entries = nil
 	for _, r := range lost {
-		if r.counts && w.now-r.at <= r.target {
-			r.counts = false // its first byte may have been in time; it is judged once
+		if r.counted && w.now-r.at <= r.target {
+			r.counted = false // its first byte may have been in time; it is counted only once
 		}
-		clear(r.tries)
+		clear(r.tried)
 		w.dispatch(r)
 	}
 }
 
-func (w *world) revive(e *engine) { e.dead = false }
+func (w *world) restartRunner(e *simRunner) { e.down = false }
 
-// reportAll makes the reports that entries choose by.
-func (w *world) reportAll() {
-	for _, e := range w.engines {
-		e.report = directory.Report{Runner: e.id, Place: e.spec.Place, Slots: e.spec.Slots, Running: len(e.running), Queued: e.queue.Len(), Wait: e.wait(core.ClassNormal), At: w.clock()}
+// refreshReports updates the reports by which entries choose runners.
+func (w *world) refreshReports() {
+	for _, e := range w.runners {
+		e.report = directory.Report{Runner: e.id, Place: e.spec.Place, Slots: e.spec.Slots, Running: len(e.running), Queued: e.queue.Len(), Wait: e.expectedWait(core.ClassNormal), At: w.clock()}
 		e.sent = 0
 	}
-	w.after(reportEvery, w.reportAll)
+	w.schedule(reportEvery, w.refreshReports)
 }
 
-// state is what a planner sees.
-func (w *world) state() *planner.State {
+// plannerState returns the state that the planner works on.
+func (w *world) plannerState() *planner.State {
 	s := &planner.State{Now: w.clock(), Slots: w.tree.Store().Slots}
 	for _, m := range w.models {
 		one := m.Model
 		one.Fast, one.Slow = m.fast, m.slow
 		s.Models = append(s.Models, one)
 	}
-	for _, e := range w.engines {
+	for _, e := range w.runners {
 		s.Runners = append(s.Runners, planner.Runner{
 			ID: e.id, Place: e.spec.Place, Capacity: e.capacity(), Slots: e.spec.Slots, Cost: e.cost,
-			Entries: append([]ledger.Entry(nil), e.entries...), Gone: e.dead && w.now-e.diedAt > lostAfter,
+			Entries: append([]ledger.Entry(nil), e.entries...), Gone: e.down && w.now-e.downSince > lostAfter,
 		})
 	}
 	return s
--- a/bench/trials/table_test.go
+++ b/bench/trials/table_test.go
@@ -7,11 +7,11 @@
 	"gotest.tools/v3/assert"
 )
 
-// A change looks better because its days were better ones: differences are taken between
-// the same day and seed only.
+// Guards against a change that seems better only because its days were easier: differences
+// are taken between the same day and seed only.
 func TestRowsComparePairs(t *testing.T) {
 	before, after := tree{"before", "a"}, tree{"after", "b"}
-	plays := []play{
+	plays := []dayRun{
 		{before, "s", "d1", "1"},
 		{after, "s", "d1", "1"},
 		{before, "s", "d1", "2"},
@@ -21,16 +21,16 @@
 	}
 	results := []outcome{
 		{Worth: 0.2},
-		{Worth: 0.3, Prices: [][]any{{loadsPrice, 4.0, 0.1}}},
+		{Worth: 0.3, Prices: [][]any{{loadsLine, 4.0, 0.1}}},
 		{Worth: 0.8},
-		{Worth: 0.7, Breaks: map[string]any{"LOST": 1}},
+		{Worth: 0.7, BrokenRules: map[string]any{"LOST": 1}},
 		{Worth: 0},
 		{Worth: 1},
 	}
-	base := map[string]float64{}
-	first := rowOf(before, "s", plays, results, base, true)
+	baseline := map[string]float64{}
+	first := newRow(before, "s", plays, results, baseline, true)
 	assert.DeepEqual(t, first.diffs, []float64{0, 0})
-	second := rowOf(after, "s", plays, results, base, false)
+	second := newRow(after, "s", plays, results, baseline, false)
 	mean, stderr := meanError(second.diffs)
 	assert.Assert(t, math.Abs(mean) < 1e-9 && math.Abs(stderr-0.1) < 1e-9, "%v %v", mean, stderr)
 	assert.Equal(t, second.loads, 4.0)
@@ -46,8 +46,8 @@
 		{[]float64{1, 3}, 2, 1},
 		{[]float64{2, 2, 2}, 2, 0},
 	}
-	for _, one := range cases {
-		mean, stderr := meanError(one.list)
-		assert.Assert(t, math.Abs(mean-one.mean) < 1e-9 && math.Abs(stderr-one.stderr) < 1e-9, "%v: %v %v", one.list, mean, stderr)
+	for _, tt := range cases {
+		mean, stderr := meanError(tt.list)
+		assert.Assert(t, math.Abs(mean-tt.mean) < 1e-9 && math.Abs(stderr-tt.stderr) < 1e-9, "%v: %v %v", tt.list, mean, stderr)
 	}
 }
