--- a/scripts/tests/list.go
+++ b/scripts/tests/list.go
@@ -8,25 +8,26 @@
 	"strings"
 )
 
-// errEntry is the error of a line that is no entry.
+// errEntry is returned for a line that is not a valid entry.
 var errEntry = errors.New("want PACKAGE TEST | COMMAND | SEED | WHAT WAS SEEN | ISSUE")
 
-// entryFields is how many parts an entry has.
+// entryFields is the number of fields of an entry.
 const entryFields = 5
 
-// entry is a test that is known to fail for a real fault, as KNOWN-RED.txt lists it.
+// entry is a test that is known to fail because of a real fault, as listed in KNOWN-RED.txt.
 type entry struct {
-	Package string // as the go command takes it, such as ./proof
-	Test    string // a test's name, of a subtest with its parents', by slashes
+	Package string // in the form that the go command takes, such as ./proof
+	Test    string // name of the test; of a subtest, the names of its parents and its own, joined by slashes
 	Command string // how to run it by hand
-	Seed    string // of its random choices, - if it makes none
+	Seed    string // seed of its random choices, - if it makes none
 	Seen    string // how the fault shows
-	Issue   string // where it is open
+	Issue   string // issue that the fault is open as
 }
 
 func (e entry) String() string { return e.Package + " " + e.Test }
 
-// pattern selects just the entry's test, for the go command's -run and -skip.
+// pattern returns the pattern that matches only the entry's test, for the -run and -skip flags
+// of the go command.
 func (e entry) pattern() string {
 	parts := strings.Split(e.Test, "/")
 	for i, p := range parts {
@@ -35,7 +36,7 @@
 	return strings.Join(parts, "/")
 }
 
-// readList reads a list of entries, one a line. Empty lines and those that begin with #
+// readList reads a list of entries, one per line. Empty lines and those that begin with #
 // are skipped.
 func readList(in io.Reader) ([]entry, error) {
 	var out []entry
@@ -54,19 +55,20 @@
 	return out, scan.Err()
 }
 
+// readEntry parses one line of the list.
 func readEntry(line string) (entry, error) {
-	parts := strings.Split(line, "|")
-	if len(parts) != entryFields {
-		return entry{}, fmt.Errorf("%d parts: %w", len(parts), errEntry)
+	fields := strings.Split(line, "|")
+	if len(fields) != entryFields {
+		return entry{}, fmt.Errorf("%d fields: %w", len(fields), errEntry)
 	}
-	for i, p := range parts {
-		if parts[i] = strings.TrimSpace(p); parts[i] == "" {
-			return entry{}, fmt.Errorf("part %d is empty: %w", i+1, errEntry)
+	for i, p := range fields {
+		if fields[i] = strings.TrimSpace(p); fields[i] == "" {
+			return entry{}, fmt.Errorf("field %d is empty: %w", i+1, errEntry)
 		}
 	}
-	name := strings.Fields(parts[0])
+	name := strings.Fields(fields[0])
 	if len(name) != 2 || !strings.HasPrefix(name[0], "./") || !strings.HasPrefix(name[1], "Test") {
-		return entry{}, fmt.Errorf("%q: %w", parts[0], errEntry)
+		return entry{}, fmt.Errorf("%q: %w", fields[0], errEntry)
 	}
-	return entry{Package: name[0], Test: name[1], Command: parts[1], Seed: parts[2], Seen: parts[3], Issue: parts[4]}, nil
+	return entry{Package: name[0], Test: name[1], Command: fields[1], Seed: fields[2], Seen: fields[3], Issue: fields[4]}, nil
 }
--- a/scripts/tests/main.go
+++ b/scripts/tests/main.go
@@ -1,7 +1,7 @@
-// Command tests runs all tests of the project. Those that KNOWN-RED.txt lists are left
-// out, run by themselves afterwards and printed: each must still fail. A listed name that
+// Command tests runs all tests of the project. The tests listed in KNOWN-RED.txt are skipped
+// at first, then run one by one and printed: each must still fail. A listed name that
 // matches no test, or whose test passes, fails the whole run, so that the list never holds
-// more than it has to.
+// more tests than it has to.
 package main
 
 import (
@@ -16,21 +16,21 @@
 // listFile lists the tests that are known to fail.
 const listFile = "KNOWN-RED.txt"
 
-// testTimeout is for the tests of one run of the go command.
+// testTimeout bounds the tests of one package, as the -timeout flag of the go command.
 const testTimeout = "20m"
 
-// errVerdict is the error of a run that does not pass, after its cause was printed.
-var errVerdict = errors.New("tests failed")
+// errTestsFailed is returned for a run that does not pass, after its cause has been printed.
+var errTestsFailed = errors.New("tests failed")
 
 func main() {
 	r := &runner{out: os.Stdout, run: goCommand}
-	if err := r.all(listFile, os.Args[1:]); err != nil {
+	if err := r.runAll(listFile, os.Args[1:]); err != nil {
 		fmt.Fprintln(os.Stderr, "tests:", err)
 		os.Exit(1)
 	}
 }
 
-// goCommand runs the go command; its output goes to out and is returned.
+// goCommand runs the go command. It writes the output to out and returns it.
 func goCommand(out io.Writer, args ...string) (string, error) {
 	var text strings.Builder
 	cmd := exec.Command("go", args...)
@@ -46,30 +46,30 @@
 	run func(out io.Writer, args ...string) (string, error)
 }
 
-// all runs the tests of all packages, with more flags for each run of the go command.
-func (r *runner) all(file string, flags []string) error {
-	red, err := r.list(file)
+// runAll runs the tests of all packages. flags are added to each run of go test.
+func (r *runner) runAll(file string, flags []string) error {
+	listed, err := r.readListFile(file)
 	if err != nil {
 		return err
 	}
-	ok := r.others(red, flags)
-	for _, e := range red {
-		if err := r.stillFails(e, flags); err != nil {
+	ok := r.runUnlisted(listed, flags)
+	for _, e := range listed {
+		if err := r.checkStillFails(e, flags); err != nil {
 			fmt.Fprintf(r.out, "known red: %s: %v\n", e, err)
 			ok = false
 		}
 	}
-	for _, e := range red {
+	for _, e := range listed {
 		fmt.Fprintf(r.out, "KNOWN RED %s: %s (%s, seed %s, %s)\n", e, e.Seen, e.Command, e.Seed, e.Issue)
 	}
 	if !ok {
-		return errVerdict
+		return errTestsFailed
 	}
 	return nil
 }
 
-// list reads the list of tests that are known to fail; there need not be one.
-func (r *runner) list(file string) ([]entry, error) {
+// readListFile reads the list of tests that are known to fail. Without a file the list is empty.
+func (r *runner) readListFile(file string) ([]entry, error) {
 	in, err := os.Open(file)
 	if errors.Is(err, os.ErrNotExist) {
 		return nil, nil
@@ -78,31 +78,31 @@
 		return nil, err
 	}
 	defer in.Close()
-	red, err := readList(in)
+	listed, err := readList(in)
 	if err != nil {
 		return nil, fmt.Errorf("%s: %w", file, err)
 	}
-	return red, nil
+	return listed, nil
 }
 
-// others runs all tests but the listed ones. A package with a listed test is run by
-// itself: the go command leaves out a name in all packages that it tests.
-func (r *runner) others(red []entry, flags []string) (ok bool) {
+// runUnlisted runs all tests except the listed ones. A package with a listed test is run by
+// itself, as the -skip flag of the go command applies to all packages that it tests.
+func (r *runner) runUnlisted(listed []entry, flags []string) (ok bool) {
 	skip := map[string][]string{}
-	var apart []string
-	for _, e := range red {
+	var separate []string
+	for _, e := range listed {
 		if skip[e.Package] == nil {
-			apart = append(apart, e.Package)
+			separate = append(separate, e.Package)
 		}
 		skip[e.Package] = append(skip[e.Package], e.pattern())
 	}
 	ok = true
-	if packages, err := r.packagesBut(apart); err != nil {
+	if packages, err := r.packagesExcept(separate); err != nil {
 		ok = false
 	} else if _, err := r.test(flags, packages...); err != nil {
 		ok = false
 	}
-	for _, p := range apart {
+	for _, p := range separate {
 		if _, err := r.test(flags, "-skip", strings.Join(skip[p], "|"), p); err != nil {
 			ok = false
 		}
@@ -110,14 +110,14 @@
 	return ok
 }
 
-// packagesBut names all packages but some.
-func (r *runner) packagesBut(apart []string) ([]string, error) {
-	if len(apart) == 0 {
+// packagesExcept returns all packages except the given ones.
+func (r *runner) packagesExcept(excluded []string) ([]string, error) {
+	if len(excluded) == 0 {
 		return []string{"./..."}, nil
 	}
-	left, err := r.run(io.Discard, append([]string{"list"}, apart...)...)
+	listed, err := r.run(io.Discard, append([]string{"list"}, excluded...)...)
 	if err != nil {
-		fmt.Fprint(r.out, left)
+		fmt.Fprint(r.out, listed)
 		return nil, err
 	}
 	all, err := r.run(io.Discard, "list", "./...")
@@ -125,33 +125,34 @@
 		fmt.Fprint(r.out, all)
 		return nil, err
 	}
-	out := map[string]bool{}
-	for _, p := range strings.Fields(left) {
-		out[p] = true
+	skip := map[string]bool{}
+	for _, p := range strings.Fields(listed) {
+		skip[p] = true
 	}
 	var rest []string
 	for _, p := range strings.Fields(all) {
-		if !out[p] {
+		if !skip[p] {
 			rest = append(rest, p)
 		}
 	}
 	return rest, nil
 }
 
+// test runs go test with the given flags and arguments and returns its output.
 func (r *runner) test(flags []string, args ...string) (string, error) {
 	all := append([]string{"test", "-count=1", "-timeout", testTimeout}, flags...)
 	return r.run(r.out, append(all, args...)...)
 }
 
-// Errors of a listed test.
+// Errors for a listed test that did not fail as expected.
 var (
-	errNoTest = errors.New("the name matches no test")
-	errPasses = errors.New("the test passes: take it off the list")
-	errOther  = errors.New("the test did not fail by itself")
+	errNoTest      = errors.New("the name matches no test")
+	errPasses      = errors.New("the test passes: remove it from the list")
+	errNotByItself = errors.New("the run failed, but not the test itself")
 )
 
-// stillFails runs a listed test.
-func (r *runner) stillFails(e entry, flags []string) error {
+// checkStillFails runs a listed test and returns an error unless the test fails.
+func (r *runner) checkStillFails(e entry, flags []string) error {
 	text, err := r.test(flags, "-v", "-run", e.pattern(), e.Package)
 	switch {
 	case strings.Contains(text, "--- FAIL: "+e.Test+" ("):
@@ -161,6 +162,6 @@
 	case err == nil:
 		return errNoTest
 	default:
-		return errOther // it does not build, or ran out of time
+		return errNotByItself // the package does not build, or the run timed out
 	}
 }
--- a/scripts/tests/main_test.go
+++ b/scripts/tests/main_test.go
@@ -11,10 +11,10 @@
 	"gotest.tools/v3/assert"
 )
 
-const good = "./proof TestA/b | go test -run TestA ./proof | - | lost | issue 1"
+const validEntry = "./proof TestA/b | go test -run TestA ./proof | - | lost | issue 1"
 
-func TestList(t *testing.T) {
-	got, err := readList(strings.NewReader("# comment\n\n" + good + "\n"))
+func TestReadList(t *testing.T) {
+	got, err := readList(strings.NewReader("# comment\n\n" + validEntry + "\n"))
 	assert.NilError(t, err)
 	assert.DeepEqual(t, got, []entry{{Package: "./proof", Test: "TestA/b", Command: "go test -run TestA ./proof", Seed: "-", Seen: "lost", Issue: "issue 1"}})
 	assert.Equal(t, got[0].pattern(), "^TestA$/^b$")
@@ -27,9 +27,10 @@
 	}
 }
 
-// A fault is listed, and from then on hides others: a test of the same name in another
-// package, a test that was renamed, one that passes by now, a package that does not build.
-func TestVerdict(t *testing.T) {
+// Guards against a listed test that hides another problem: a failure of a test with the same
+// name in another package, a listed test that was renamed or passes by now, a package that does
+// not build.
+func TestKnownFailuresHideNoOthers(t *testing.T) {
 	if testing.Short() {
 		t.Skip("runs the go command")
 	}
@@ -44,8 +45,8 @@
 		{"listed and skipped", "./a TestA", "func TestA(t *testing.T) { t.Skip() }", false},
 		{"listed, no such test", "./a TestB", "func TestA(t *testing.T) {}", false},
 		{"listed, no such package", "./b TestA", "func TestA(t *testing.T) {}", false},
-		{"only the beginning is listed", "./a Test", "func TestA(t *testing.T) { t.Fail() }", false},
-		{"another one fails too", "./a TestA", "func TestA(t *testing.T) { t.Fail() }\nfunc TestB(t *testing.T) { t.Fail() }", false},
+		{"only a prefix of the name is listed", "./a Test", "func TestA(t *testing.T) { t.Fail() }", false},
+		{"another test fails too", "./a TestA", "func TestA(t *testing.T) { t.Fail() }\nfunc TestB(t *testing.T) { t.Fail() }", false},
 		{"a subtest", "./a TestA/one", "func TestA(t *testing.T) { t.Run(\"one\", func(t *testing.T) { t.Fail() }); t.Run(\"two\", func(*testing.T) {}) }", true},
 		{"another subtest fails too", "./a TestA/one", "func TestA(t *testing.T) { for _, n := range []string{\"one\", \"two\"} { t.Run(n, func(t *testing.T) { t.Fail() }) } }", false},
 		{"does not build", "./a TestA", "func TestA(t *testing.T) { none() }", false},
@@ -64,7 +65,7 @@
 			r := &runner{out: &out, run: func(out io.Writer, args ...string) (string, error) {
 				return goCommand(out, append([]string{"-C", dir}, args...)...)
 			}}
-			err := r.all(filepath.Join(dir, listFile), nil)
+			err := r.runAll(filepath.Join(dir, listFile), nil)
 			assert.Equal(t, err == nil, tt.ok, out.String())
 			assert.Equal(t, strings.Contains(out.String(), "KNOWN RED"), tt.list != "", out.String())
 		})
