--- a/scripts/demo.sh
+++ b/scripts/demo.sh
@@ -1,7 +1,7 @@
 #!/usr/bin/env bash
-# The main job on stand-ins: a platform, three engines in two places, a plain
-# service and three daemons as separate processes on loopback. Exits 0 only if
-# every answer was whole.
+# Demonstrates the main functions with stand-ins: a platform, three engines in two
+# data centres, a plain service and three daemons run as separate processes on
+# loopback. Exits with 0 only if every answer was complete.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 dir=$(mktemp -d)
--- a/scripts/twice.sh
+++ b/scripts/twice.sh
@@ -1,6 +1,6 @@
 #!/usr/bin/env bash
-# Plays a day for each kind of trouble that the standard days lack: alone, and again
-# during an outage of the store. Usage: scripts/twice.sh BENCH SITE
+# Runs a day for each kind of fault that the standard days lack. Each fault occurs alone,
+# and again during an outage of the store. Usage: scripts/twice.sh BENCH SITE
 set -euo pipefail
 bench=$1 site=$2
 dir=$(mktemp -d)
