--- a/cmd/primrosectl/client.go
+++ b/cmd/primrosectl/client.go
@@ -51,7 +51,7 @@
 	lines := append([]string{f.Problem.Error}, f.Problems...)
 	if f.Winner != nil {
 		node, _ := json.MarshalIndent(f.Winner.Node, "", "  ")
-		lines = append(lines, fmt.Sprintf("%s is at version %d and contains:", f.Winner.Path, f.Winner.Version), string(node))
+		lines = append(lines, fmt.Sprintf("%s is now, at version %d:", f.Winner.Path, f.Winner.Version), string(node))
 	}
 	return strings.Join(lines, "\n")
 }
--- a/cmd/primrosectl/runners.go
+++ b/cmd/primrosectl/runners.go
@@ -89,7 +89,7 @@
 		f.defaultNote(drain, "drain "+runner, "resume "+runner)
 		return f.putNode(c, got)
 	}
-	return &apiError{status: http.StatusNotFound, Problem: problem(fmt.Sprintf("runner %q is not in the top node of any branch", runner))}
+	return &apiError{status: http.StatusNotFound, Problem: problem(fmt.Sprintf("runner %q is at no branch's top node", runner))}
 }
 
 // defaultNote sets the edit's note to yes if set is true and to no otherwise, unless the
--- a/coordination/entry/entry.go
+++ b/coordination/entry/entry.go
@@ -203,7 +203,7 @@
 // keyReusedError returns the error for an id or key that belongs to a request
 // with other content.
 func keyReusedError() *core.RequestError {
-	return core.NotRun(http.StatusUnprocessableEntity, "id_reused", "the request id or key was already used for a different request", 0)
+	return core.NotRun(http.StatusUnprocessableEntity, "id_reused", "the request id or key was used for another request", 0)
 }
 
 // Leave handles a caller that disconnects before its answer is complete. The
