--- a/bench/overhead/main.go
+++ b/bench/overhead/main.go
@@ -58,7 +58,7 @@
 	if err != nil {
 		return err
 	}
-	slow := engine.New(engine.Config{Memory: 80 * oneGB, Slots: 256, Token: tokenGap, Resident: []core.Resident{{Model: "s", Version: "1", Bytes: oneGB, Ready: true}}})
+	slow := engine.New(engine.Config{Memory: 80 * oneGB, Slots: 256, TokenInterval: tokenGap, Resident: []core.Resident{{Model: "s", Version: "1", Bytes: oneGB, Ready: true}}})
 	slowAddr, err := f.Serve(slow)
 	if err != nil {
 		return err
@@ -66,11 +66,11 @@
 	dataCentres := []string{"a"}
 	concurrency := 100000
 	err = f.Apply(&tree.Node{
-		Set:   tree.Settings{Places: &dataCentres, Concurrency: concurrency},
+		Set:   tree.Settings{DataCentres: &dataCentres, Concurrency: concurrency},
 		Store: &tree.Store{Rate: 1, Slots: 1, Pause: true},
 		Endpoints: map[string]tree.Endpoint{
-			"e": {Addr: addr, Place: "a", Kind: tree.KindModel, Memory: 80 * oneGB, Slots: 256},
-			"s": {Addr: slowAddr, Place: "a", Kind: tree.KindModel, Memory: 80 * oneGB, Slots: 256},
+			"e": {Addr: addr, DataCentre: "a", Kind: tree.KindModel, Memory: 80 * oneGB, Slots: 256},
+			"s": {Addr: slowAddr, DataCentre: "a", Kind: tree.KindModel, Memory: 80 * oneGB, Slots: 256},
 		},
 		Children: map[string]*tree.Node{
 			"model/m": {Model: &tree.Model{Version: "1", Memory: oneGB}},
--- a/bench/policy/main.go
+++ b/bench/policy/main.go
@@ -51,11 +51,11 @@
 func ablations() []namedVariant {
 	return []namedVariant{
 		{"chosen", plannerWith(func(*planner.Policy) {})},
-		{"no second replica", plannerWith(func(p *planner.Policy) { p.NoSecond = true })},
-		{"no replica for demand", plannerWith(func(p *planner.Policy) { p.NoDemand = true })},
-		{"fast average alone", plannerWith(func(p *planner.Policy) { p.NoSlow = true })},
-		{"moves cost nothing", plannerWith(func(p *planner.Policy) { p.NoCost = true })},
-		{"most memory first", plannerWith(func(p *planner.Policy) { p.NoSpread = true })},
+		{"no second replica", plannerWith(func(p *planner.Policy) { p.NoSecondReplica = true })},
+		{"no replica for demand", plannerWith(func(p *planner.Policy) { p.NoDemandReplicas = true })},
+		{"fast average alone", plannerWith(func(p *planner.Policy) { p.NoSlowAverage = true })},
+		{"moves cost nothing", plannerWith(func(p *planner.Policy) { p.NoMoveCost = true })},
+		{"most memory first", plannerWith(func(p *planner.Policy) { p.MostMemoryFirst = true })},
 	}
 }
 
@@ -93,7 +93,7 @@
 		}
 		levels[name] = level
 		sum += level
-		effective := t.Effective(tree.Coord{Service: t.ServiceOf(name), Model: name})
+		effective := t.Effective(tree.Selector{Service: t.ServiceOf(name), Model: name})
 		w.models = append(w.models, &simModel{Model: m, class: effective.Class, target: effective.Target(effective.Class)})
 	}
 	const meanWork = 2.0 // seconds
@@ -110,17 +110,17 @@
 func (w *world) scheduleFaults() {
 	w.schedule(60*time.Minute, func() { w.failRunner(w.runners[2]) })
 	w.schedule(75*time.Minute, func() { w.restartRunner(w.runners[2]) })
-	lost := w.runners[1].spec.Place
+	lost := w.runners[1].spec.DataCentre
 	w.schedule(100*time.Minute, func() {
 		for _, e := range w.runners {
-			if e.spec.Place == lost {
+			if e.spec.DataCentre == lost {
 				w.failRunner(e)
 			}
 		}
 	})
 	w.schedule(115*time.Minute, func() {
 		for _, e := range w.runners {
-			if e.spec.Place == lost {
+			if e.spec.DataCentre == lost {
 				w.restartRunner(e)
 			}
 		}
--- a/bench/policy/variants.go
+++ b/bench/policy/variants.go
@@ -113,7 +113,7 @@
 func lruLoad(w *world, m *simModel) {
 	var best *simRunner
 	for _, e := range w.runners {
-		if e.down || !m.Places[e.spec.Place] || e.find(m.Name) != nil {
+		if e.down || !m.AllowedDataCentres[e.spec.DataCentre] || e.find(m.Name) != nil {
 			continue
 		}
 		if m.Base != "" && !e.serves(w.byName[m.Base]) {
--- a/bench/policy/world.go
+++ b/bench/policy/world.go
@@ -162,7 +162,7 @@
 // reachable reports whether some running runner is allowed to serve the model.
 func (w *world) reachable(m *simModel) bool {
 	for _, e := range w.runners {
-		if !e.down && m.Places[e.spec.Place] {
+		if !e.down && m.AllowedDataCentres[e.spec.DataCentre] {
 			return true
 		}
 	}
@@ -229,7 +229,7 @@
 				at = append(at, e)
 			}
 		}
-		i := route.Ask{Place: w.runners[0].spec.Place}.Choose(candidates)
+		i := route.Requirements{DataCentre: w.runners[0].spec.DataCentre}.Choose(candidates)
 		if i < 0 {
 			w.variant.onRefusal(w, r)
 			return
@@ -411,7 +411,7 @@
 // refreshReports updates the reports by which entries choose runners.
 func (w *world) refreshReports() {
 	for _, e := range w.runners {
-		e.report = directory.Report{Runner: e.id, Place: e.spec.Place, Slots: e.spec.Slots, Running: len(e.running), Queued: e.queue.Len(), Wait: e.expectedWait(core.ClassNormal), At: w.clock()}
+		e.report = directory.Report{Runner: e.id, DataCentre: e.spec.DataCentre, Slots: e.spec.Slots, Running: len(e.running), Queued: e.queue.Len(), Wait: e.expectedWait(core.ClassNormal), At: w.clock()}
 		e.sent = 0
 	}
 	w.schedule(reportEvery, w.refreshReports)
@@ -419,16 +419,16 @@
 
 // plannerState returns the state that the planner works on.
 func (w *world) plannerState() *planner.State {
-	s := &planner.State{Now: w.clock(), Slots: w.tree.Store().Slots}
+	s := &planner.State{Now: w.clock(), LoadSlots: w.tree.Store().Slots}
 	for _, m := range w.models {
 		one := m.Model
-		one.Fast, one.Slow = m.fast, m.slow
+		one.FastRate, one.SlowRate = m.fast, m.slow
 		s.Models = append(s.Models, one)
 	}
 	for _, e := range w.runners {
 		s.Runners = append(s.Runners, planner.Runner{
-			ID: e.id, Place: e.spec.Place, Capacity: e.capacity(), Slots: e.spec.Slots, Cost: e.cost,
-			Entries: append([]ledger.Entry(nil), e.entries...), Gone: e.down && w.now-e.downSince > lostAfter,
+			ID: e.id, DataCentre: e.spec.DataCentre, Capacity: e.capacity(), Slots: e.spec.Slots, MeanSlotTime: e.cost,
+			Entries: append([]ledger.Entry(nil), e.entries...), Unavailable: e.down && w.now-e.downSince > lostAfter,
 		})
 	}
 	return s
--- a/cmd/primrose-soak/main.go
+++ b/cmd/primrose-soak/main.go
@@ -18,7 +18,7 @@
 )
 
 func main() {
-	o := soak.Options{Binary: "bin/primrosed", Daemons: 4, Callers: 12, Length: 12 * time.Second}
+	o := soak.Options{Binary: "bin/primrosed", Daemons: 4, Callers: 12, FaultDuration: 12 * time.Second}
 	seeds, jobs, seed := 4, 2, uint64(0)
 	dir := filepath.Join(os.TempDir(), "soak")
 	flaggy.SetName("primrose-soak")
@@ -31,7 +31,7 @@
 	flaggy.UInt64(&seed, "s", "seed", "first seed; 0: random")
 	flaggy.Int(&o.Daemons, "", "daemons", "daemons in each run")
 	flaggy.Int(&o.Callers, "", "callers", "callers in each run")
-	flaggy.Duration(&o.Length, "l", "length", "how long faults are injected in each run")
+	flaggy.Duration(&o.FaultDuration, "l", "length", "how long faults are injected in each run")
 	flaggy.Parse()
 	if seed == 0 {
 		seed = rand.Uint64N(1e9)
@@ -82,13 +82,13 @@
 		fmt.Printf("seed %d: %v\n", seed, err)
 		return
 	}
-	fmt.Printf("seed %d: %d asked, %d served, %d refused, %d lost; calm: %d of %d\n", seed, r.Asked, r.Served, r.Refused, r.Lost, r.CalmGood, r.InCalm)
-	if len(r.Wrong) == 0 {
+	fmt.Printf("seed %d: %d asked, %d served, %d refused, %d lost; calm: %d of %d\n", seed, r.Requests, r.Served, r.Refused, r.Lost, r.CalmServed, r.CalmRequests)
+	if len(r.Violations) == 0 {
 		_ = os.RemoveAll(o.Dir) // a failure only leaves logs behind
 		return
 	}
 	p.failed++
-	for _, line := range r.Wrong {
+	for _, line := range r.Violations {
 		fmt.Println("  violation:", line)
 	}
 	for _, line := range r.Events {
--- a/cmd/primrose-standin/engine.go
+++ b/cmd/primrose-standin/engine.go
@@ -32,6 +32,6 @@
 			fmt.Fprintln(os.Stderr, "memory:", err)
 			os.Exit(1)
 		}
-		listen(addr, engine.New(engine.Config{Memory: int64(bytes), Slots: slots, Fenced: fenced, Token: token, Load: load}))
+		listen(addr, engine.New(engine.Config{Memory: int64(bytes), Slots: slots, Fenced: fenced, TokenInterval: token, LoadTime: load}))
 	}
 }
--- a/cmd/primrosectl/follow.go
+++ b/cmd/primrosectl/follow.go
@@ -24,7 +24,7 @@
 		}
 		found := logs.Follow(lines, request)
 		if len(found) == 0 {
-			return eris.Wrapf(core.ErrNotFound, "no log line for request %s; some lines may have been left out, look for %q", request, logs.LinesLeftOut)
+			return eris.Wrapf(core.ErrNotFound, "no log line for request %s; some lines may have been left out, look for %q", request, logs.LinesDropped)
 		}
 		if c.json {
 			return printJSON(found)
--- a/cmd/primrosectl/holds.go
+++ b/cmd/primrosectl/holds.go
@@ -34,7 +34,7 @@
 		for _, h := range got {
 			rows = append(rows, []string{
 				h.Digest.String(), string(h.State), string(h.By), h.Route, h.Service, strconv.Itoa(h.Runners),
-				h.Since.UTC().Format(time.RFC3339), h.Left, strconv.Itoa(h.Times),
+				h.Since.UTC().Format(time.RFC3339), h.Remaining, strconv.Itoa(h.HoldCount),
 			})
 		}
 		table("DIGEST\tSTATE\tRELEASED BY\tROUTE\tSERVICE\tRUNNERS\tSINCE\tLEFT\tTIMES", rows)
--- a/cmd/primrosectl/limits.go
+++ b/cmd/primrosectl/limits.go
@@ -29,8 +29,8 @@
 				from = "itself"
 			}
 			rows = append(rows, []string{
-				l.Name, formatNumber(l.Rate), fmt.Sprintf("%.1f", l.Asked), fmt.Sprintf("%.1f", l.Sent), fmt.Sprintf("%.1f", l.Left),
-				fmt.Sprintf("%.0f%%", 100*l.Share), strconv.FormatInt(l.Refused, 10), from, formatSeconds(l.Heard),
+				l.Name, formatNumber(l.Rate), fmt.Sprintf("%.1f", l.Demand), fmt.Sprintf("%.1f", l.Sent), fmt.Sprintf("%.1f", l.Available),
+				fmt.Sprintf("%.0f%%", 100*l.Share), strconv.FormatInt(l.Refused, 10), from, formatSeconds(l.LimitAge),
 			})
 		}
 		table("NAME\tRATE\tASKED\tSENT\tLEFT\tSHARE\tREFUSED\tFROM\tHEARD", rows)
--- a/cmd/primrosectl/runners.go
+++ b/cmd/primrosectl/runners.go
@@ -59,7 +59,7 @@
 			state = "leaving"
 		}
 		rows = append(rows, []string{
-			r.Runner, r.Place, r.Owner, state, formatGB(r.Capacity), formatGB(r.Committed), formatGB(r.Reserved), formatGB(r.Quarantined), formatGB(r.Free),
+			r.Runner, r.DataCentre, r.Owner, state, formatGB(r.Capacity), formatGB(r.Committed), formatGB(r.Reserved), formatGB(r.Quarantined), formatGB(r.Free),
 			fmt.Sprintf("%d+%d/%d", r.Running, r.Queued, r.Slots), strings.Join(models, " "),
 		})
 	}
@@ -76,7 +76,7 @@
 	}
 	for _, b := range s.Branches {
 		path := "/" + strings.Trim(b.Branch, "/")
-		var got service.Got
+		var got service.NodeState
 		if err := c.call(http.MethodGet, "/admin/tree", url.Values{"path": {path}}, nil, &got); err != nil {
 			return err
 		}
@@ -105,7 +105,7 @@
 }
 
 // putNode replaces a node that was read before, if its branch has not changed since.
-func (f *treeFlags) putNode(c *client, got service.Got) error {
+func (f *treeFlags) putNode(c *client, got service.NodeState) error {
 	node, err := json.Marshal(got.Node)
 	if err != nil {
 		return err
@@ -147,7 +147,7 @@
 
 // setPause sets the pause field of the root's store settings.
 func (f *treeFlags) setPause(c *client, pause bool) error {
-	var got service.Got
+	var got service.NodeState
 	if err := c.call(http.MethodGet, "/admin/tree", url.Values{"path": {tree.Root}}, nil, &got); err != nil {
 		return err
 	}
@@ -172,8 +172,8 @@
 		}
 		var rows [][]string
 		for _, m := range got.Members {
-			held, _ := core.Bytes(m.Held).MarshalText()
-			rows = append(rows, []string{m.Name, m.Place, strconv.Itoa(m.Running), strconv.Itoa(m.Queued), string(held)})
+			held, _ := core.Bytes(m.StoredBytes).MarshalText()
+			rows = append(rows, []string{m.Name, m.DataCentre, strconv.Itoa(m.Running), strconv.Itoa(m.Queued), string(held)})
 		}
 		table("MEMBER\tPLACE\tRUNNING\tQUEUED\tHELD", rows)
 		return nil
--- a/cmd/primrosectl/status.go
+++ b/cmd/primrosectl/status.go
@@ -33,7 +33,7 @@
 	var rows [][]string
 	for _, m := range s.Members {
 		rows = append(rows, []string{
-			m.Name, m.Place, m.State, formatBool(m.Reached), strconv.Itoa(m.Behind), m.Fresh, strconv.Itoa(m.Running), strconv.Itoa(m.Queued), strings.Join(m.Runners, ","), roles(m),
+			m.Name, m.DataCentre, m.State, formatBool(m.Reachable), strconv.Itoa(m.Behind), m.SinceConfirmed, strconv.Itoa(m.Running), strconv.Itoa(m.Queued), strings.Join(m.Runners, ","), roles(m),
 		})
 	}
 	table("MEMBER\tPLACE\tSTATE\tREACHED\tBEHIND\tCONFIRMED\tRUNNING\tQUEUED\tOWNS\tROLES", rows)
--- a/cmd/primrosectl/store.go
+++ b/cmd/primrosectl/store.go
@@ -46,7 +46,7 @@
 	for _, o := range objects {
 		branches = append(branches, tree.BranchOf(core.Event{Object: o}))
 	}
-	replica.Adopt(branches, version)
+	replica.ApplyList(branches, version)
 	o, err := client.Get(ctx, platform.KindConfig, platform.NameConfig)
 	if err != nil {
 		return nil, err
@@ -67,8 +67,8 @@
 // edit and keeps no copy of the tree.
 type discard struct{}
 
-// Take implements service.Taker.
-func (discard) Take([]tree.Branch) {}
+// ApplyBranches implements service.Taker.
+func (discard) ApplyBranches([]tree.Branch) {}
 
 // RoundTrip implements http.RoundTripper.
 func (t *storeTransport) RoundTrip(r *http.Request) (*http.Response, error) {
--- a/cmd/primrosectl/tree.go
+++ b/cmd/primrosectl/tree.go
@@ -64,7 +64,7 @@
 
 func (f *treeFlags) get() command {
 	return command{f.subcommand("get", "print a node and its branch's version", true), func(c *client) error {
-		var got service.Got
+		var got service.NodeState
 		if err := c.call(http.MethodGet, "/admin/tree", f.query(), nil, &got); err != nil {
 			return err
 		}
@@ -124,7 +124,7 @@
 			return err
 		}
 	}
-	var got service.Got
+	var got service.NodeState
 	body := admin.EditBody{Version: version, Node: node, Note: f.note}
 	if node != nil && !json.Valid(node) {
 		return fmt.Errorf("%w: the file is not JSON", errUsage)
@@ -143,7 +143,7 @@
 		return 0, fmt.Errorf("%w: path: want /service/NAME, /model/NAME or /place/NAME and so on", errUsage)
 	}
 	top := p[:min(len(p), 1)]
-	var got service.Got
+	var got service.NodeState
 	err := c.call(http.MethodGet, "/admin/tree", url.Values{"path": {top.String()}}, nil, &got)
 	if err != nil && exitCode(err) != exitNotFound {
 		return 0, err
@@ -184,7 +184,7 @@
 		if err != nil {
 			return err
 		}
-		var got service.Got
+		var got service.NodeState
 		if err := c.call(http.MethodGet, "/admin/tree", f.query(), nil, &got); err != nil {
 			return err
 		}
@@ -250,7 +250,7 @@
 		if err != nil {
 			return err
 		}
-		var got []service.Got
+		var got []service.NodeState
 		if err := c.call(http.MethodPost, "/admin/tree", nil, json.RawMessage(data), &got); err != nil {
 			return err
 		}
@@ -283,7 +283,7 @@
 	s.String(&f.model, "m", "model", "model")
 	s.String(&f.place, "p", "place", "place")
 	return command{s, func(c *client) error {
-		var got service.Explained
+		var got service.Explanation
 		q := url.Values{"service": {f.service}, "model": {f.model}, "place": {f.place}}
 		if err := c.call(http.MethodGet, "/admin/explain", q, nil, &got); err != nil {
 			return err
@@ -291,7 +291,7 @@
 		if c.json {
 			return printJSON(got)
 		}
-		fmt.Printf("service %q  model %q  place %q  allowed %s\n", got.Service, got.Model, got.Place, strconv.FormatBool(got.Allowed))
+		fmt.Printf("service %q  model %q  place %q  allowed %s\n", got.Service, got.Model, got.DataCentre, strconv.FormatBool(got.Allowed))
 		var rows [][]string
 		for field, v := range got.Values {
 			from := got.Origin[field]
--- a/cmd/primrosectl/workspaces.go
+++ b/cmd/primrosectl/workspaces.go
@@ -29,8 +29,8 @@
 				state = "invalid"
 			}
 			rows = append(rows, []string{
-				w.Name, state, formatNumber(w.Rate), formatNumber(w.Burst), w.Unit, formatNumber(w.Asked), formatNumber(w.Spent), formatNumber(w.Left),
-				strconv.FormatFloat(w.Share, 'f', 2, 64), fmt.Sprint(w.Refused), w.Age, strings.Join(w.Keys, " "),
+				w.Name, state, formatNumber(w.Rate), formatNumber(w.Burst), w.Unit, formatNumber(w.Demand), formatNumber(w.Accepted), formatNumber(w.Available),
+				strconv.FormatFloat(w.Share, 'f', 2, 64), fmt.Sprint(w.Refused), w.UsageAge, strings.Join(w.Keys, " "),
 			})
 		}
 		table("WORKSPACE\tSTATE\tRATE\tBURST\tUNIT\tASKED\tSPENT\tLEFT\tSHARE\tREFUSED\tAGE\tKEYS", rows)
--- a/cmd/primrosed/main.go
+++ b/cmd/primrosed/main.go
@@ -67,7 +67,7 @@
 	if err != nil {
 		return err
 	}
-	out.Start(log)
+	out.StartReports(log)
 	graceful, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
 	defer stop()
 	d.Start()
@@ -111,6 +111,6 @@
 		return daemon.New(set, log)
 	}
 	metrics := observe.NewMetrics()
-	out.Count(metrics.Scope.Counter("log_lines_left_out"))
+	out.SetCounter(metrics.Scope.Counter("log_lines_left_out"))
 	return fleet.New(set, log, metrics)
 }
--- a/coordination/allowance/allowance.go
+++ b/coordination/allowance/allowance.go
@@ -78,7 +78,7 @@
 type Pool struct {
 	clock     core.Clock
 	timing    timing
-	window    func() core.Window
+	window    func() core.AllowanceWindow
 	scope     tally.Scope
 	random    func() float64
 	evenParts bool
@@ -119,7 +119,7 @@
 func WithEvenParts() Option { return func(p *Pool) { p.evenParts = true } }
 
 // New returns the Pool of a daemon that has just started.
-func New(clock core.Clock, window func() core.Window, opts ...Option) *Pool {
+func New(clock core.Clock, window func() core.AllowanceWindow, opts ...Option) *Pool {
 	p := &Pool{clock: clock, timing: workspaceTiming, window: window, scope: tally.NoopScope, random: rand.Float64, started: clock.Now(), counters: map[string]counters{}}
 	for _, o := range opts {
 		o(p)
@@ -159,8 +159,8 @@
 	b := &bucket{timing: p.timing, params: r, updatedAt: since, createdAt: since, share: share}
 	if u, ok := p.peerUsage[code]; ok {
 		b.mergePeers(p.clock.Now(), u, share)
-		if !math.IsNaN(u.Left) {
-			b.left = u.Left
+		if !math.IsNaN(u.Available) {
+			b.left = u.Available
 		}
 	}
 	return b
@@ -207,8 +207,8 @@
 	defer b.mu.Unlock()
 	b.update(now)
 	b.demand.add(now, b.timing.demandSpan, units)
-	out := core.Admission{Left: b.left, Asked: b.demand.rate(now, b.timing.demandSpan) + b.peers.Asked, Heard: f.reachable, Known: f.known, Age: b.age(now)}
-	probability := b.admitProbability(b.admittedShare(out.Asked, now.Sub(b.createdAt) < newBucketAge), size)
+	out := core.Admission{Available: b.left, Demand: b.demand.rate(now, b.timing.demandSpan) + b.peers.Demand, ReachableDaemons: f.reachable, TotalDaemons: f.known, Age: b.age(now)}
+	probability := b.admitProbability(b.admittedShare(out.Demand, now.Sub(b.createdAt) < newBucketAge), size)
 	if probability >= 1 || probability > 0 && p.random() < probability {
 		out.OK = true
 		b.spend(now, units)
@@ -244,8 +244,8 @@
 	b.spend(p.clock.Now(), units)
 }
 
-// Give implements core.Allowance.
-func (p *Pool) Give(w *core.Workspace, units float64) { p.Charge(w, -units) }
+// Refund implements core.Allowance.
+func (p *Pool) Refund(w *core.Workspace, units float64) { p.Charge(w, -units) }
 
 // Usage returns the report for the peers. It covers the workspaces that are in use, here or at
 // peers, or whose bucket is not full.
@@ -260,10 +260,10 @@
 	return out
 }
 
-// Heard applies the peers' reports: the number of reachable daemons, the number of daemons
+// UpdatePeers applies the peers' reports: the number of reachable daemons, the number of daemons
 // that may be alive, and the usage of the reachable peers. Left is the peers' estimate, NaN
 // where they have none.
-func (p *Pool) Heard(reachable, known int, usage map[core.Code]core.Usage) {
+func (p *Pool) UpdatePeers(reachable, known int, usage map[core.Code]core.Usage) {
 	if p.evenParts {
 		reachable, usage = min(1, reachable), nil
 	}
@@ -276,7 +276,7 @@
 	for code, b := range *p.buckets.Load() {
 		u, ok := usage[code]
 		if !ok {
-			u.Left = math.NaN()
+			u.Available = math.NaN()
 		}
 		b.mergePeers(now, u, f.share())
 	}
@@ -286,7 +286,7 @@
 type State struct {
 	Name    string
 	Rate    float64 // units per second
-	Asked   float64 // units per second, over all reachable daemons
+	Demand  float64 // units per second, over all reachable daemons
 	Spent   float64 // units per second, over all reachable daemons
 	Left    float64 // units that can be admitted at once
 	Share   float64 // part of the allowance that belongs to the reachable daemons
--- a/coordination/allowance/allowance_test.go
+++ b/coordination/allowance/allowance_test.go
@@ -104,7 +104,7 @@
 
 // Guards against a workspace that exceeds its allowance over all daemons under any fault, and
 // against refusals of units that it is entitled to.
-func TestAllowanceHolds(t *testing.T) {
+func TestAllowanceIsEnforced(t *testing.T) {
 	for _, tt := range cases {
 		for _, mode := range []struct {
 			name string
--- a/coordination/allowance/bucket.go
+++ b/coordination/allowance/bucket.go
@@ -18,7 +18,7 @@
 }
 
 // workspaceParams returns the parameters of a workspace's allowance.
-func workspaceParams(w *core.Workspace, window core.Window) params {
+func workspaceParams(w *core.Workspace, window core.AllowanceWindow) params {
 	return params{name: w.Name, perSecond: w.Rate, depth: w.Burst + slackShare*window.Slack}
 }
 
@@ -79,7 +79,7 @@
 	b.updatedAt = now
 	gain := b.params.perSecond * b.share
 	if !b.timing.perRequest {
-		gain -= b.peers.Spent
+		gain -= b.peers.Admitted
 	}
 	b.left = min(b.params.depth*b.share, b.left+gain*seconds)
 }
@@ -89,8 +89,8 @@
 // of these, whatever its last report said. The caller holds b.mu.
 func (b *bucket) removeUnreachable(now time.Time, u core.Usage, share float64) {
 	lost := b.share - share
-	perShare := (b.spent.rate(now, b.timing.spentSpan) + u.Spent) / share
-	reported := max(0, b.peers.Spent-u.Spent)
+	perShare := (b.spent.rate(now, b.timing.spentSpan) + u.Admitted) / share
+	reported := max(0, b.peers.Admitted-u.Admitted)
 	b.left -= max(0, perShare*lost-reported) * lossDetectionTime.Seconds()
 	b.left *= share / b.share
 }
@@ -157,11 +157,11 @@
 	first := b.peersAt.IsZero()
 	b.share, b.peers, b.peersAt = share, u, now
 	switch {
-	case math.IsNaN(u.Left):
+	case math.IsNaN(u.Available):
 	case first && now.Sub(b.createdAt) < newBucketAge:
-		b.left = u.Left
+		b.left = u.Available
 	default:
-		b.left += convergenceGain * (u.Left - b.left)
+		b.left += convergenceGain * (u.Available - b.left)
 	}
 }
 
@@ -170,8 +170,8 @@
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.update(now)
-	u := core.Usage{Asked: b.demand.rate(now, b.timing.demandSpan), Spent: b.spent.rate(now, b.timing.spentSpan), Left: b.left}
-	return u, u.Asked >= minReportedRate || u.Spent >= minReportedRate || b.peers.Asked >= minReportedRate || b.left < b.params.depth*b.share
+	u := core.Usage{Demand: b.demand.rate(now, b.timing.demandSpan), Admitted: b.spent.rate(now, b.timing.spentSpan), Available: b.left}
+	return u, u.Demand >= minReportedRate || u.Admitted >= minReportedRate || b.peers.Demand >= minReportedRate || b.left < b.params.depth*b.share
 }
 
 // state returns the bucket's state for operators.
@@ -180,7 +180,7 @@
 	defer b.mu.Unlock()
 	b.update(now)
 	return State{
-		Name: b.params.name, Rate: b.params.perSecond, Asked: b.demand.rate(now, b.timing.demandSpan) + b.peers.Asked, Spent: b.spent.rate(now, b.timing.spentSpan) + b.peers.Spent,
+		Name: b.params.name, Rate: b.params.perSecond, Demand: b.demand.rate(now, b.timing.demandSpan) + b.peers.Demand, Spent: b.spent.rate(now, b.timing.spentSpan) + b.peers.Admitted,
 		Left: b.left, Share: b.share, Refused: b.refused, Age: b.age(now),
 	}
 }
--- a/coordination/allowance/limits.go
+++ b/coordination/allowance/limits.go
@@ -45,9 +45,9 @@
 // single request would look like high demand.
 var limitTiming = timing{horizon: 300 * time.Millisecond, demandSpan: time.Second, spentSpan: 300 * time.Millisecond, perRequest: true}
 
-// Word is a message between daemons about a runner: its limit, or how many requests were sent
+// LimitUpdate is a message between daemons about a runner: its limit, or how many requests were sent
 // to it under the limit.
-type Word struct {
+type LimitUpdate struct {
 	Runner  string  `json:"r"`
 	Limited bool    `json:"l,omitempty"`
 	Rate    float64 `json:"s,omitempty"` // requests per second
@@ -62,7 +62,7 @@
 	log       *zap.Logger
 	scope     tally.Scope
 	pool      *Pool
-	broadcast func(Word)
+	broadcast func(LimitUpdate)
 
 	limits      atomic.Pointer[map[string]*limit]
 	endedLimits atomic.Pointer[map[string]limitEnd] // limits that ended within endRetention
@@ -98,8 +98,8 @@
 // LimitsOption configures Limits.
 type LimitsOption func(*Limits)
 
-// WithTell sets the function that broadcasts a runner's limit to the peers.
-func WithTell(fn func(Word)) LimitsOption { return func(r *Limits) { r.broadcast = fn } }
+// WithBroadcast sets the function that broadcasts a runner's limit to the peers.
+func WithBroadcast(fn func(LimitUpdate)) LimitsOption { return func(r *Limits) { r.broadcast = fn } }
 
 // WithLimitsScope sets the scope of the metrics.
 func WithLimitsScope(s tally.Scope) LimitsOption { return func(r *Limits) { r.scope = s } }
@@ -116,8 +116,8 @@
 // NewLimits returns Limits without any limit. No requests are admitted to a limited runner
 // until Heard is called.
 func NewLimits(clock core.Clock, log *zap.Logger, opts ...LimitsOption) *Limits {
-	r := &Limits{clock: clock, log: log, scope: tally.NoopScope, broadcast: func(Word) {}}
-	r.pool = New(clock, func() core.Window { return core.Window{} })
+	r := &Limits{clock: clock, log: log, scope: tally.NoopScope, broadcast: func(LimitUpdate) {}}
+	r.pool = New(clock, func() core.AllowanceWindow { return core.AllowanceWindow{} })
 	r.pool.timing = limitTiming
 	for _, o := range opts {
 		o(r)
@@ -130,10 +130,10 @@
 // limitOf returns a runner's limit, nil if it has none.
 func (r *Limits) limitOf(runner string) *limit { return (*r.limits.Load())[runner] }
 
-// Answered applies the limit that a runner's answer declares. A rejection without one does not
+// ObserveAnswer applies the limit that a runner's answer declares. A rejection without one does not
 // end a limit: it may come from another instance, or have been written before the request was
 // examined.
-func (r *Limits) Answered(runner string, info core.ReplyInfo) {
+func (r *Limits) ObserveAnswer(runner string, info core.ReplyInfo) {
 	if _, ended := (*r.endedLimits.Load())[runner]; !ended && info.Limit == (core.RateLimit{}) && r.limitOf(runner) == nil {
 		return
 	}
@@ -143,7 +143,7 @@
 		r.reportUnreadable(runner, info.Limit.Problem)
 	}
 	switch {
-	case info.Limit.Named:
+	case info.Limit.Announced:
 		r.set(runner, info.Limit.Rate, "")
 	case info.Stamped && !info.NotRun:
 		r.remove(runner, "")
@@ -151,8 +151,8 @@
 	}
 }
 
-// Told applies an update that a peer has broadcast.
-func (r *Limits) Told(from string, w Word) {
+// ApplyUpdate applies an update that a peer has broadcast.
+func (r *Limits) ApplyUpdate(from string, w LimitUpdate) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	switch l := r.limitOf(w.Runner); {
@@ -214,7 +214,7 @@
 	}
 	if now.Sub(l.broadcastAt) >= interval {
 		l.broadcastAt, l.broadcastRate = now, l.rate
-		r.broadcast(Word{Runner: runner, Limited: true, Rate: l.rate})
+		r.broadcast(LimitUpdate{Runner: runner, Limited: true, Rate: l.rate})
 	}
 }
 
@@ -239,7 +239,7 @@
 	ended := maps.Clone(*r.endedLimits.Load())
 	ended[runner] = limitEnd{at: ended[runner].at, broadcastAt: now}
 	r.endedLimits.Store(&ended)
-	r.broadcast(Word{Runner: runner})
+	r.broadcast(LimitUpdate{Runner: runner})
 }
 
 // remove drops a runner's limit; the caller holds r.mu.
@@ -325,7 +325,7 @@
 // reportSent counts requests sent to a runner, and broadcasts the count when due.
 func (r *Limits) reportSent(runner string, l *limit, n float64, interval time.Duration) {
 	if n = l.sender.takeUnreported(r.clock.Now(), n, interval); n != 0 && !r.pool.evenParts {
-		r.broadcast(Word{Runner: runner, Sent: n})
+		r.broadcast(LimitUpdate{Runner: runner, Sent: n})
 	}
 }
 
@@ -385,8 +385,8 @@
 // Charge counts a request that arrives at a runner without having been admitted.
 func (r *Limits) Charge(runner string) { r.spend(runner, 1) }
 
-// Give returns a request that was admitted and does not arrive.
-func (r *Limits) Give(runner string) { r.spend(runner, -1) }
+// Refund returns a request that was admitted and does not arrive.
+func (r *Limits) Refund(runner string) { r.spend(runner, -1) }
 
 func (r *Limits) spend(runner string, n float64) {
 	l := r.limitOf(runner)
@@ -409,9 +409,9 @@
 // Usage returns the report on limited runners for the peers, see Pool.Usage.
 func (r *Limits) Usage() map[core.Code]core.Usage { return r.pool.Usage() }
 
-// Heard applies the reports of the reachable peers, see Pool.Heard.
-func (r *Limits) Heard(reachable, known int, usage map[core.Code]core.Usage) {
-	r.pool.Heard(reachable, known, usage)
+// UpdatePeers applies the reports of the reachable peers, see Pool.UpdatePeers.
+func (r *Limits) UpdatePeers(reachable, known int, usage map[core.Code]core.Usage) {
+	r.pool.UpdatePeers(reachable, known, usage)
 	r.flush()
 }
 
--- a/coordination/allowance/limits_sim_test.go
+++ b/coordination/allowance/limits_sim_test.go
@@ -38,7 +38,7 @@
 type delayedUpdate struct {
 	at     time.Duration
 	from   int
-	update Word
+	update LimitUpdate
 }
 
 func newLimitSim(seed int64, daemons int, rate, load float64, opts ...Option) *limitSim {
@@ -54,7 +54,7 @@
 // startNode starts a daemon without any state.
 func (s *limitSim) startNode(i int) {
 	pool := append([]Option{WithRandom(s.rand.Float64)}, s.opts...)
-	s.limits[i] = NewLimits(s.clock, zap.NewNop(), WithPool(pool...), WithTell(func(w Word) {
+	s.limits[i] = NewLimits(s.clock, zap.NewNop(), WithPool(pool...), WithBroadcast(func(w LimitUpdate) {
 		s.updates = append(s.updates, delayedUpdate{s.now() + updateLag, i, w})
 	}))
 	n := s.nodes[i]
@@ -65,7 +65,7 @@
 func (s *limitSim) answerInfo() core.ReplyInfo {
 	out := core.ReplyInfo{Stamped: true}
 	if s.rate >= 0 {
-		out.Limit = core.RateLimit{Named: true, Rate: s.rate}
+		out.Limit = core.RateLimit{Announced: true, Rate: s.rate}
 	}
 	return out
 }
@@ -104,7 +104,7 @@
 		}
 		for i, n := range s.nodes {
 			if i != w.from && n.up && s.partitionOf(i) == s.partitionOf(w.from) {
-				s.limits[i].Told(fmt.Sprint(w.from), w.update)
+				s.limits[i].ApplyUpdate(fmt.Sprint(w.from), w.update)
 			}
 		}
 	}
@@ -117,7 +117,7 @@
 		return
 	}
 	s.arrivals = append(s.arrivals, at)
-	s.limits[i].Answered(limitedRunner, s.answerInfo())
+	s.limits[i].ObserveAnswer(limitedRunner, s.answerInfo())
 }
 
 // peakArrivals returns the most arrivals within any arrivalWindow from the given time on, and
@@ -161,7 +161,7 @@
 // Guards against a limited runner that gets more requests from all daemons together than it
 // has declared, or that is left idle because part of the limit belongs to daemons without
 // callers.
-func TestLimitIsKeptAndUsed(t *testing.T) {
+func TestLimitIsEnforcedAndUsed(t *testing.T) {
 	const duration = 30 * time.Second
 	for _, daemons := range []int{3, 8, 20, 100, 300} {
 		for _, rate := range []float64{0.5, 2, 6, 30} {
--- a/coordination/allowance/limits_test.go
+++ b/coordination/allowance/limits_test.go
@@ -16,7 +16,7 @@
 // Checks that partitions, kills, starts, surges and changes of the limit, in any order,
 // neither bring more requests to a runner than it has declared nor preserve a limit that has
 // ended.
-func TestLimitHoldsWhateverHappens(t *testing.T) {
+func TestLimitUnderRandomFaults(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		daemons := rapid.IntRange(2, 24).Draw(t, "daemons")
 		s := newLimitSim(rapid.Int64().Draw(t, "seed"), daemons, 6, 20)
@@ -66,12 +66,12 @@
 // newSoleLimits returns the Limits of a daemon that is the only one.
 func newSoleLimits(clock core.Clock, opts ...LimitsOption) *Limits {
 	r := NewLimits(clock, zap.NewNop(), opts...)
-	r.Heard(1, 1, nil)
+	r.UpdatePeers(1, 1, nil)
 	return r
 }
 
 func answerWithLimit(rate float64) core.ReplyInfo {
-	return core.ReplyInfo{Stamped: true, Limit: core.RateLimit{Named: true, Rate: rate}}
+	return core.ReplyInfo{Stamped: true, Limit: core.RateLimit{Announced: true, Rate: rate}}
 }
 
 // Guards against a limit that stays in force after the runner has stopped declaring it, or
@@ -84,24 +84,24 @@
 		want float64 // below 0: no limit
 	}{
 		{"named", func(*Limits) {}, 2},
-		{"lower", func(r *Limits) { r.Answered(limitedRunner, answerWithLimit(0.5)) }, 0.5},
-		{"higher", func(r *Limits) { r.Answered(limitedRunner, answerWithLimit(9)) }, 9},
-		{"no limit any more", func(r *Limits) { r.Answered(limitedRunner, core.ReplyInfo{Stamped: true}) }, -1},
-		{"rejection without a limit", func(r *Limits) { r.Answered(limitedRunner, core.ReplyInfo{NotRun: true}) }, 2},
+		{"lower", func(r *Limits) { r.ObserveAnswer(limitedRunner, answerWithLimit(0.5)) }, 0.5},
+		{"higher", func(r *Limits) { r.ObserveAnswer(limitedRunner, answerWithLimit(9)) }, 9},
+		{"no limit any more", func(r *Limits) { r.ObserveAnswer(limitedRunner, core.ReplyInfo{Stamped: true}) }, -1},
+		{"rejection without a limit", func(r *Limits) { r.ObserveAnswer(limitedRunner, core.ReplyInfo{NotRun: true}) }, 2},
 		{"rejection with a limit", func(r *Limits) {
-			r.Answered(limitedRunner, core.ReplyInfo{NotRun: true, Limit: core.RateLimit{Named: true, Rate: 1}})
+			r.ObserveAnswer(limitedRunner, core.ReplyInfo{NotRun: true, Limit: core.RateLimit{Announced: true, Rate: 1}})
 		}, 1},
-		{"answer of another runner", func(r *Limits) { r.Answered(other, core.ReplyInfo{Stamped: true}) }, 2},
+		{"answer of another runner", func(r *Limits) { r.ObserveAnswer(other, core.ReplyInfo{Stamped: true}) }, 2},
 		{"unreadable", func(r *Limits) {
-			r.Answered(limitedRunner, core.ReplyInfo{Stamped: true, Limit: core.RateLimit{Problem: "empty"}})
+			r.ObserveAnswer(limitedRunner, core.ReplyInfo{Stamped: true, Limit: core.RateLimit{Problem: "empty"}})
 		}, -1},
-		{"peer broadcasts a lower limit", func(r *Limits) { r.Told("b", Word{Runner: limitedRunner, Limited: true, Rate: 1}) }, 1},
-		{"peer broadcasts the end of the limit", func(r *Limits) { r.Told("b", Word{Runner: limitedRunner}) }, -1},
+		{"peer broadcasts a lower limit", func(r *Limits) { r.ApplyUpdate("b", LimitUpdate{Runner: limitedRunner, Limited: true, Rate: 1}) }, 1},
+		{"peer broadcasts the end of the limit", func(r *Limits) { r.ApplyUpdate("b", LimitUpdate{Runner: limitedRunner}) }, -1},
 		{"restarted, or its address reassigned", func(r *Limits) { r.Forget(limitedRunner) }, -1},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
 			r := newSoleLimits(clockwork.NewFakeClock())
-			r.Answered(limitedRunner, answerWithLimit(2))
+			r.ObserveAnswer(limitedRunner, answerWithLimit(2))
 			tt.do(r)
 			got, ok := r.Limit(limitedRunner)
 			assert.Equal(t, ok, tt.want >= 0)
@@ -119,7 +119,7 @@
 		t.Run(fmt.Sprint(rate), func(t *testing.T) {
 			clock := clockwork.NewFakeClock()
 			r := newSoleLimits(clock)
-			r.Answered(limitedRunner, answerWithLimit(rate))
+			r.ObserveAnswer(limitedRunner, answerWithLimit(rate))
 			admitted := 0
 			for range 20 * 10 {
 				clock.Advance(100 * time.Millisecond)
@@ -136,7 +136,7 @@
 func TestUrgentRequestsGoFirst(t *testing.T) {
 	clock := clockwork.NewFakeClock()
 	r := newSoleLimits(clock)
-	r.Answered(limitedRunner, answerWithLimit(4))
+	r.ObserveAnswer(limitedRunner, answerWithLimit(4))
 	admitted := [2]int{}
 	for range 600 {
 		clock.Advance(50 * time.Millisecond)
@@ -157,7 +157,7 @@
 func TestSpareRequestsLeaveCapacity(t *testing.T) {
 	clock := clockwork.NewFakeClock()
 	r := newSoleLimits(clock)
-	r.Answered(limitedRunner, answerWithLimit(2))
+	r.ObserveAnswer(limitedRunner, answerWithLimit(2))
 	admitted := 0
 	for range 400 {
 		clock.Advance(50 * time.Millisecond)
@@ -171,22 +171,22 @@
 // Guards against a broadcast for each answer of a limited runner.
 func TestLimitBroadcastsAreBounded(t *testing.T) {
 	clock := clockwork.NewFakeClock()
-	var updates []Word
-	r := newSoleLimits(clock, WithTell(func(w Word) { updates = append(updates, w) }))
+	var updates []LimitUpdate
+	r := newSoleLimits(clock, WithBroadcast(func(w LimitUpdate) { updates = append(updates, w) }))
 	for i := range 100 { // over 2 s
-		r.Answered(limitedRunner, answerWithLimit(float64(2+i%2)))
+		r.ObserveAnswer(limitedRunner, answerWithLimit(float64(2+i%2)))
 		clock.Advance(20 * time.Millisecond)
 	}
 	assert.Assert(t, len(updates) >= 2 && len(updates) <= 11, "%d", len(updates))
-	r.Answered(limitedRunner, core.ReplyInfo{Stamped: true})
-	assert.Equal(t, updates[len(updates)-1], Word{Runner: limitedRunner})
+	r.ObserveAnswer(limitedRunner, core.ReplyInfo{Stamped: true})
+	assert.Equal(t, updates[len(updates)-1], LimitUpdate{Runner: limitedRunner})
 }
 
 // BenchmarkLimit measures what limits cost per request, for a runner without a limit while
 // another one has one, and for a limited runner.
 func BenchmarkLimit(b *testing.B) {
 	r := newSoleLimits(clockwork.NewRealClock())
-	r.Answered(limitedRunner, answerWithLimit(1e5))
+	r.ObserveAnswer(limitedRunner, answerWithLimit(1e5))
 	for _, id := range []string{"i-2", limitedRunner} {
 		b.Run(id, func(b *testing.B) {
 			b.ReportAllocs()
--- a/coordination/allowance/model_test.go
+++ b/coordination/allowance/model_test.go
@@ -24,7 +24,7 @@
 
 // Checks that partitions, kills, starts, surges and changes of the allowance, in any order, do
 // not bring a workspace above its allowance over all daemons.
-func TestAllowanceHoldsWhateverHappens(t *testing.T) {
+func TestAllowanceUnderRandomFaults(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		daemons := rapid.IntRange(2, 24).Draw(t, "daemons")
 		rate := rapid.SampledFrom([]float64{1900, 20e3, 270e3}).Draw(t, "rate")
@@ -87,10 +87,10 @@
 func BenchmarkTake(b *testing.B) {
 	config := &core.Config{Workspaces: []*core.Workspace{{Name: "w", Keys: []core.KeyID{core.KeyIDOf("key")}, Rate: 1e9, Burst: 1e9, Unit: core.UnitTokens}}}
 	config.Index()
-	p := New(clockwork.NewRealClock(), func() core.Window { return ruleWindow })
+	p := New(clockwork.NewRealClock(), func() core.AllowanceWindow { return ruleWindow })
 	p.Configure(config.Workspaces)
-	p.Heard(71, 71, nil)
-	q := &core.Request{Input: 700, MaxOutput: 280, Counted: true}
+	p.UpdatePeers(71, 71, nil)
+	q := &core.Request{InputTokens: 700, MaxOutputTokens: 280, TokensKnown: true}
 	b.ReportAllocs()
 	b.RunParallel(func(pb *testing.PB) {
 		for pb.Next() {
--- a/coordination/allowance/sim_test.go
+++ b/coordination/allowance/sim_test.go
@@ -25,7 +25,7 @@
 	settleTime = 3 * time.Second
 )
 
-var ruleWindow = core.Window{Length: 8 * time.Second, Over: 0.1, Slack: 7400}
+var ruleWindow = core.AllowanceWindow{Length: 8 * time.Second, Over: 0.1, Slack: 7400}
 
 // sim is a fleet whose daemons share the allowances of workspaces, in virtual time.
 type sim struct {
@@ -97,7 +97,7 @@
 
 // start starts a daemon without any state.
 func (s *sim) start(n *node) {
-	n.pool = New(s.clock, func() core.Window { return ruleWindow }, s.opts...)
+	n.pool = New(s.clock, func() core.AllowanceWindow { return ruleWindow }, s.opts...)
 	n.up, n.reports = true, nil
 	s.configure(n)
 }
@@ -169,7 +169,7 @@
 	t.n += int(sign)
 	for code, one := range u {
 		was := t.sum[code]
-		t.sum[code] = core.Usage{Asked: was.Asked + sign*one.Asked, Spent: was.Spent + sign*one.Spent, Left: was.Left + sign*one.Left}
+		t.sum[code] = core.Usage{Demand: was.Demand + sign*one.Demand, Admitted: was.Admitted + sign*one.Admitted, Available: was.Available + sign*one.Available}
 		t.reporters[code] += sign
 	}
 }
@@ -217,12 +217,12 @@
 		t.add(n.last, -1)
 		others := usage{}
 		for code, u := range t.sum {
-			if u.Left /= t.reporters[code]; t.reporters[code] < 0.5 {
-				u.Left = math.NaN()
+			if u.Available /= t.reporters[code]; t.reporters[code] < 0.5 {
+				u.Available = math.NaN()
 			}
-			others[code] = core.Usage{Asked: max(0, u.Asked), Spent: max(0, u.Spent), Left: u.Left}
+			others[code] = core.Usage{Demand: max(0, u.Demand), Admitted: max(0, u.Admitted), Available: u.Available}
 		}
-		n.pool.Heard(t.n+1, len(s.nodes), others)
+		n.pool.UpdatePeers(t.n+1, len(s.nodes), others)
 	}
 }
 
@@ -278,7 +278,7 @@
 		}
 		best = max(best, sum)
 	}
-	return best / ruleWindow.Most(u.Workspace)
+	return best / ruleWindow.MaxUnits(u.Workspace)
 }
 
 // admittedRatio returns the units admitted, relative to those of the ideal bucket.
--- a/coordination/claim/claim.go
+++ b/coordination/claim/claim.go
@@ -31,10 +31,10 @@
 
 // Body is the content of a claim object.
 type Body struct {
-	Token  string    `json:"token"`  // unique to each call of Take
-	Print  uint64    `json:"print"`  // fingerprint of the request
-	Member string    `json:"member"` // daemon that made the claim and holds the answer
-	At     time.Time `json:"at"`
+	Token       string    `json:"token"`  // unique to each call of Take
+	Fingerprint uint64    `json:"print"`  // fingerprint of the request
+	Member      string    `json:"member"` // daemon that made the claim and holds the answer
+	At          time.Time `json:"at"`
 }
 
 // Claim is a claim that this daemon has made.
@@ -92,19 +92,19 @@
 // that may have been made is released.
 func (c *Claims) Take(ctx context.Context, key string, fingerprint uint64) (Claim, Body, error) {
 	claim := Claim{name: objectName(key), token: uuid.NewString()}
-	body := Body{Token: claim.token, Print: fingerprint, Member: c.members.Self().Name, At: c.clock.Now()}
+	body := Body{Token: claim.token, Fingerprint: fingerprint, Member: c.members.Self().Name, At: c.clock.Now()}
 	data, err := json.Marshal(body)
 	if err != nil {
 		return claim, body, err
 	}
 	_, err = c.platform.Create(ctx, core.Object{Kind: core.KindClaim, Name: claim.name, Body: data})
 	switch {
-	case err == nil, errors.Is(err, core.ErrOvertaken):
+	case err == nil, errors.Is(err, core.ErrOverwritten):
 		return claim, body, nil
 	case errors.Is(err, core.ErrExists):
 		return c.existing(ctx, claim)
 	default:
-		c.GiveBack(claim)
+		c.Release(claim)
 		return claim, body, errors.Join(core.ErrUnavailable, err)
 	}
 }
@@ -137,10 +137,10 @@
 	return body, nil
 }
 
-// GiveBack deletes a claim whose request has certainly not run, so that the caller can
+// Release deletes a claim whose request has certainly not run, so that the caller can
 // send the request again. The deletion is retried in the background, because a claim that
 // remained would block its key needlessly.
-func (c *Claims) GiveBack(claim Claim) {
+func (c *Claims) Release(claim Claim) {
 	select {
 	case c.releases <- pendingRelease{claim: claim}:
 	default:
--- a/coordination/dispatch/choose.go
+++ b/coordination/dispatch/choose.go
@@ -120,7 +120,7 @@
 		return 0
 	}
 	j.paced = true
-	return j.d.pacer.Reserve(j.d.clock.Now(), j.service, runner, j.q.Input, j.d.daemons(), j.route.Target)
+	return j.d.pacer.Reserve(j.d.clock.Now(), j.service, runner, j.q.InputTokens, j.d.daemons(), j.route.Target)
 }
 
 // mayServe reports whether the request may go to a runner now.
@@ -130,7 +130,7 @@
 
 // hasModel is like mayServe but ignores the request's adapter.
 func (j *job) hasModel(e *catalog.Entry) bool {
-	return e.Usable() && !j.tried[e.ID] && j.allows(e.Place) && (j.q.Model == "" || e.Holds(j.q.Model))
+	return e.Usable() && !j.tried[e.ID] && j.allows(e.DataCentre) && (j.q.Model == "" || e.Holds(j.q.Model))
 }
 
 // requirements returns what the request needs of its runner.
@@ -139,7 +139,7 @@
 	if spec == nil || spec.Engine == nil {
 		return policy.Requirements{}
 	}
-	if spec.Ranked && j.rank() == spec.Urgent {
+	if spec.Ranked && j.rank() == spec.TopRank {
 		return policy.Requirements{Engine: true, QueueLimit: policy.UrgentQueueLimit()}
 	}
 	return policy.Requirements{Engine: true, QueueLimit: policy.QueueLimit(j.route.Target, j.d.pacer.StreamDuration(j.service))}
@@ -169,7 +169,7 @@
 		holders = append(holders, e)
 		out = append(out, policy.Candidate{
 			ID: e.ID, Slots: e.Slots, Requests: v.Requests, Penalty: v.Penalty,
-			SameDataCentre: e.Place == j.d.dataCentre, Leaving: e.Leaves > 0 && e.Leaves < leaveMargin,
+			SameDataCentre: e.DataCentre == j.d.dataCentre, Leaving: e.LeavesIn > 0 && e.LeavesIn < leaveMargin,
 			Wait: j.d.pacer.Wait(now, e.ID), Down: v.Down, Limited: limited && !limit.Spare,
 		})
 	}
@@ -182,18 +182,18 @@
 func (j *job) requestPlacement(ctx context.Context, busy bool) *core.Runner {
 	j.placementRequested = true
 	began := j.d.clock.Now()
-	id, retry, err := j.d.placer.Place(ctx, Want{Service: j.service, Model: j.q.Model, Adapter: j.q.Adapter, Busy: busy})
+	id, retry, err := j.d.placer.Place(ctx, PlacementKey{Service: j.service, Model: j.q.Model, Adapter: j.q.Adapter, Busy: busy})
 	if err != nil {
 		j.retryAfter = retry
 		j.log.Info(logs.ModelNotPlaced, zap.String("model", j.q.Model), zap.String("adapter", j.q.Adapter), logs.Err(err))
 		return nil
 	}
 	e := j.d.catalog.Runner(id)
-	if e == nil || !e.Usable() || j.tried[id] || !j.allows(e.Place) || j.d.loads.Down(id) {
+	if e == nil || !e.Usable() || j.tried[id] || !j.allows(e.DataCentre) || j.d.loads.Down(id) {
 		return nil
 	}
 	if j.q.Adapter != "" {
-		j.d.catalog.Learn(id, j.q.Model, j.q.Adapter, true)
+		j.d.catalog.RecordHolding(id, j.q.Model, j.q.Adapter, true)
 	}
 	if !j.takeLimit(id, j.d.limits.Take) {
 		return nil
--- a/coordination/dispatch/demand.go
+++ b/coordination/dispatch/demand.go
@@ -6,8 +6,8 @@
 	"primroseward/core"
 )
 
-// Want is a model of a service, or an adapter of it, that requests need.
-type Want struct {
+// PlacementKey is a model of a service, or an adapter of it, that requests need.
+type PlacementKey struct {
 	Service string `json:"service"`
 	Model   string `json:"model"`
 	Adapter string `json:"adapter,omitempty"`
@@ -18,11 +18,11 @@
 // Demand counts the requests for each model and adapter.
 type Demand struct {
 	mu     sync.Mutex
-	counts map[Want]float64
+	counts map[PlacementKey]float64
 }
 
 // NewDemand returns an empty Demand.
-func NewDemand() *Demand { return &Demand{counts: map[Want]float64{}} }
+func NewDemand() *Demand { return &Demand{counts: map[PlacementKey]float64{}} }
 
 // workUnit is how many output tokens cost as much as reading a prompt.
 const workUnit = 100
@@ -34,14 +34,14 @@
 	}
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.counts[Want{Service: service, Model: q.Model, Adapter: q.Adapter}] += 1 + float64(q.MaxOutput)/workUnit
+	d.counts[PlacementKey{Service: service, Model: q.Model, Adapter: q.Adapter}] += 1 + float64(q.MaxOutputTokens)/workUnit
 }
 
 // Take returns the counts since the last call and resets them.
-func (d *Demand) Take() map[Want]float64 {
+func (d *Demand) Take() map[PlacementKey]float64 {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	out := d.counts
-	d.counts = make(map[Want]float64, len(out))
+	d.counts = make(map[PlacementKey]float64, len(out))
 	return out
 }
--- a/coordination/dispatch/dispatch.go
+++ b/coordination/dispatch/dispatch.go
@@ -64,7 +64,7 @@
 type Placer interface {
 	// Place returns the runner that has the model or adapter now. With an error it returns
 	// the time after which it may be there, 0 if that is not known.
-	Place(ctx context.Context, w Want) (runner string, retry time.Duration, err error)
+	Place(ctx context.Context, w PlacementKey) (runner string, retry time.Duration, err error)
 }
 
 // Dispatcher serves requests.
@@ -280,7 +280,7 @@
 // checkStamp rejects successful answers that are not signed by the runner, or that are encoded.
 func checkStamp(reply *core.Reply) error {
 	if reply.Status < http.StatusMultipleChoices && (!reply.Info.Stamped || reply.Info.Encoded) {
-		return eris.Wrap(core.ErrLost, "answer without the runner's signature, or encoded")
+		return eris.Wrap(core.ErrAnswerLost, "answer without the runner's signature, or encoded")
 	}
 	return nil
 }
@@ -295,8 +295,8 @@
 	}
 	j.d.loads.Answered(r.ID)
 	if reply.Status < http.StatusInternalServerError {
-		j.d.loads.Worked(r.ID)
-		j.d.guard.Worked(j.q.Digest)
+		j.d.loads.RecordSuccess(r.ID)
+		j.d.guard.Served(j.q.Digest)
 	}
 	j.log.Info(logs.AnswerEnded, zap.String("runner", r.ID), zap.Int("status", reply.Status),
 		zap.Duration("took", j.d.clock.Since(j.q.Arrived)), zap.Duration("target", j.route.Target))
--- a/coordination/dispatch/dispatch_test.go
+++ b/coordination/dispatch/dispatch_test.go
@@ -28,7 +28,7 @@
 // once, a refusal states truly whether the request ran, a request runs no more often than
 // its route allows attempts, a complete stream has each event once, and every request is
 // answered by its deadline.
-func TestPromisesWhateverRunnersDo(t *testing.T) {
+func TestInvariantsUnderRunnerFaults(t *testing.T) {
 	routes := []*core.Route{
 		route(core.KindUnsafe, false, 2), route(core.KindSafe, false, 2), route(core.KindSafe, false, 3),
 		route(core.KindStream, false, 2), route(core.KindStream, true, 2), route(core.KindStream, true, 3),
@@ -163,7 +163,7 @@
 		{"unsigned", unsafe, 3, "m", []act{unsigned}, logs.AnswerLost, "error", "signature"},
 		{"late", unsafe, 3, "m", []act{hangs}, logs.DeadlineExceeded, "request", "q"},
 		{"a broken stream", open, 3, "m", []act{breaksOff}, logs.AnswerLost, "error", "unexpected EOF"},
-		{"a stalled stream", route(core.KindStream, true, 2), 3, "m", []act{stalls}, logs.RunnerMute, "runner", "r"},
+		{"a stalled stream", route(core.KindStream, true, 2), 3, "m", []act{stalls}, logs.RunnerStalled, "runner", "r"},
 	}
 	for _, one := range cases {
 		synctest.Test(t, func(t *testing.T) {
--- a/coordination/dispatch/fake_test.go
+++ b/coordination/dispatch/fake_test.go
@@ -63,12 +63,12 @@
 	case noListener:
 		return nil, fmt.Errorf("%w: %w", core.ErrNotSent, core.ErrNoListener)
 	case losesAnswer:
-		return nil, eris.Wrap(core.ErrLost, "reset")
+		return nil, eris.Wrap(core.ErrAnswerLost, "reset")
 	case hangs:
 		f.mu.Unlock()
 		<-ctx.Done()
 		f.mu.Lock()
-		return nil, eris.Wrap(core.ErrLost, "closed")
+		return nil, eris.Wrap(core.ErrAnswerLost, "closed")
 	case rejects:
 		info.NotRun = true
 		return answer(http.StatusServiceUnavailable, info, "", nil), nil
@@ -151,7 +151,7 @@
 
 type noPlacer struct{}
 
-func (noPlacer) Place(context.Context, Want) (string, time.Duration, error) {
+func (noPlacer) Place(context.Context, PlacementKey) (string, time.Duration, error) {
 	return "", 0, core.ErrUnavailable
 }
 
@@ -183,7 +183,7 @@
 
 // callWith is like call with a prompt of the given number of tokens.
 func callWith(d *Dispatcher, r *core.Route, tokens int) (status int, body string, err error) {
-	q := &core.Request{ID: "q", Model: "m", Input: tokens, Header: http.Header{}, Arrived: d.clock.Now(), Timeout: 3 * time.Second}
+	q := &core.Request{ID: "q", Model: "m", InputTokens: tokens, Header: http.Header{}, Arrived: d.clock.Now(), Timeout: 3 * time.Second}
 	reply, err := d.Do(context.Background(), r, q)
 	if err != nil {
 		return core.AsRequestError(err).Status, "", err
--- a/coordination/dispatch/guard.go
+++ b/coordination/dispatch/guard.go
@@ -21,7 +21,7 @@
 // workspace's allowance is checked last, so that requests refused for other reasons use
 // none of it.
 func (j *job) admit() (leave func(), err error) {
-	if left := j.d.guard.Held(j.q.Digest); left > 0 {
+	if left := j.d.guard.HoldRemaining(j.q.Digest); left > 0 {
 		return nil, j.refuseHeld(left)
 	}
 	leave, err = j.applySettings()
@@ -75,18 +75,18 @@
 		return
 	}
 	e := j.d.catalog.Runner(r.ID)
-	if e == nil || e.Draining || !e.Born.Equal(r.Born) {
+	if e == nil || e.Draining || !e.StartedAt.Equal(r.StartedAt) {
 		return
 	}
-	j.d.guard.Broke(core.Broken{
+	j.d.guard.ConnectionLost(core.LostRequest{
 		Digest: j.q.Digest, Runner: *r, Route: j.route.Name, Service: j.service,
-		Begun: j.stage != stageSent || !j.engine(), Fresh: j.stage == stageHead && j.engine(),
+		MayHaveRun: j.stage != stageSent || !j.engine(), JustStarted: j.stage == stageHead && j.engine(),
 	})
 }
 
-// Hold cancels the sends of a request that is now held and whose answer has not begun. They
+// CancelHeld cancels the sends of a request that is now held and whose answer has not begun. They
 // may still be queued at a runner, which they would crash.
-func (d *Dispatcher) Hold(digest core.Digest) {
+func (d *Dispatcher) CancelHeld(digest core.Digest) {
 	for _, cancel := range d.unanswered.removeAll(digest) {
 		cancel()
 	}
--- a/coordination/dispatch/guard_test.go
+++ b/coordination/dispatch/guard_test.go
@@ -17,13 +17,13 @@
 type guard struct {
 	mu     sync.Mutex
 	admits int // how often the request is admitted; negative: held when it arrives
-	closed []core.Broken
+	closed []core.LostRequest
 	worked int
 }
 
 const holdTime = 7 * time.Second
 
-func (g *guard) Held(core.Digest) time.Duration {
+func (g *guard) HoldRemaining(core.Digest) time.Duration {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if g.admits < 0 {
@@ -42,20 +42,20 @@
 	return 0, true
 }
 
-func (g *guard) Broke(b core.Broken) {
+func (g *guard) ConnectionLost(b core.LostRequest) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.closed = append(g.closed, b)
 }
 
-func (g *guard) Worked(core.Digest) {
+func (g *guard) Served(core.Digest) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.worked++
 }
 
 // errExited is the error of a runner that exits with all of its connections.
-var errExited = fmt.Errorf("%w: %w", core.ErrLost, core.ErrClosed)
+var errExited = fmt.Errorf("%w: %w", core.ErrAnswerLost, core.ErrClosed)
 
 // crashing is a Sender whose runners exit before an answer, or after some events of it.
 type crashing struct {
@@ -94,7 +94,7 @@
 // Answers to held requests must state truly whether the request may have run: a caller that
 // wrongly receives "not run" retries, and the request runs twice. They must come at once rather
 // than at the deadline, and say when to retry. This is checked for each kind of route.
-func TestAnswersToRequestsHeldBack(t *testing.T) {
+func TestAnswersToHeldRequests(t *testing.T) {
 	safe, unsafe := route(core.KindSafe, false, 3), route(core.KindUnsafe, false, 3)
 	stream, whole := route(core.KindStream, true, 3), route(core.KindStream, false, 3)
 	for _, tt := range []struct {
@@ -138,8 +138,8 @@
 	}{
 		{"it crashes", func(*core.Runner) {}, 1},
 		{"it has announced that it leaves", func(r *core.Runner) { r.Draining = true }, 0},
-		{"it is taken away by the platform", func(r *core.Runner) { r.Draining, r.Leaves = true, time.Second }, 0},
-		{"it is known to have started again", func(r *core.Runner) { r.Born = time.UnixMilli(1) }, 0},
+		{"it is taken away by the platform", func(r *core.Runner) { r.Draining, r.LeavesIn = true, time.Second }, 0},
+		{"it is known to have started again", func(r *core.Runner) { r.StartedAt = time.UnixMilli(1) }, 0},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
 			g, s := &guard{admits: 1}, &crashing{}
@@ -182,8 +182,8 @@
 		_, _, err := call(d, route(core.KindStream, false, 1))
 		assert.Assert(t, err != nil, tt.name)
 		assert.Equal(t, len(g.closed), 1, tt.name)
-		assert.Equal(t, g.closed[0].Begun, tt.begun, tt.name)
-		assert.Equal(t, g.closed[0].Fresh, tt.fresh, tt.name)
+		assert.Equal(t, g.closed[0].MayHaveRun, tt.begun, tt.name)
+		assert.Equal(t, g.closed[0].JustStarted, tt.fresh, tt.name)
 	}
 }
 
@@ -200,7 +200,7 @@
 		time.Sleep(time.Millisecond)
 	}
 	began := time.Now()
-	d.Hold(core.Digest{})
+	d.CancelHeld(core.Digest{})
 	assert.Assert(t, <-done != nil)
 	assert.Assert(t, time.Since(began) < time.Second, "before its deadline")
 }
--- a/coordination/dispatch/limits.go
+++ b/coordination/dispatch/limits.go
@@ -54,7 +54,7 @@
 	j.atLimit = true
 	j.limitFields = []zap.Field{
 		zap.String("runner", runner), zap.Float64("limit", limit.Rate), zap.String("from", limit.From), zap.Duration("heard", limit.Age),
-		zap.Float64("left", a.Left), zap.Float64("asked", a.Asked), zap.Int("daemons", a.Heard), zap.Int("known", a.Known), zap.Duration("age", a.Age),
+		zap.Float64("left", a.Available), zap.Float64("asked", a.Demand), zap.Int("daemons", a.ReachableDaemons), zap.Int("known", a.TotalDaemons), zap.Duration("age", a.Age),
 	}
 	j.log.Debug(logs.RunnerAtLimit, j.limitFields...)
 	return false
@@ -73,7 +73,7 @@
 // refundLimit refunds what was taken from a runner's limit for a send that is not made.
 func (j *job) refundLimit() {
 	if j.limitTakenFrom != "" {
-		j.d.limits.Give(j.limitTakenFrom)
+		j.d.limits.Refund(j.limitTakenFrom)
 		j.limitTakenFrom = ""
 	}
 }
--- a/coordination/dispatch/limits_test.go
+++ b/coordination/dispatch/limits_test.go
@@ -33,10 +33,10 @@
 			synctest.Test(t, func(t *testing.T) {
 				f := &fleet{nextAct: script(), limits: map[string]core.RateLimit{}}
 				d := newDispatcher(f, tt.runners)
-				d.limits.Heard(1, 1, nil)
+				d.limits.UpdatePeers(1, 1, nil)
 				for _, r := range tt.limited {
-					f.limits[r] = core.RateLimit{Named: true, Rate: rate}
-					d.limits.Answered(r, core.ReplyInfo{Limit: f.limits[r]})
+					f.limits[r] = core.RateLimit{Announced: true, Rate: rate}
+					d.limits.ObserveAnswer(r, core.ReplyInfo{Limit: f.limits[r]})
 				}
 				served := 0
 				for range requests {
@@ -56,7 +56,7 @@
 				}
 				atLimited := 0
 				for _, r := range f.runs {
-					if f.limits[r].Named {
+					if f.limits[r].Announced {
 						atLimited++
 					}
 				}
@@ -73,8 +73,8 @@
 	synctest.Test(t, func(t *testing.T) {
 		f := &fleet{nextAct: func(string) act { return unreachable }, limits: map[string]core.RateLimit{}}
 		d := newDispatcher(f, 1)
-		d.limits.Heard(1, 1, nil)
-		d.limits.Answered("r0", core.ReplyInfo{Limit: core.RateLimit{Named: true, Rate: 2}})
+		d.limits.UpdatePeers(1, 1, nil)
+		d.limits.ObserveAnswer("r0", core.ReplyInfo{Limit: core.RateLimit{Announced: true, Rate: 2}})
 		time.Sleep(10 * time.Second) // the bucket is full
 		before := d.limits.States()[0].Left
 		_, _, err := call(d, route(core.KindSafe, false, 2))
--- a/coordination/dispatch/outcome.go
+++ b/coordination/dispatch/outcome.go
@@ -20,7 +20,7 @@
 	j.markFailed(r)
 	j.reportClosed(r, err)
 	if errors.Is(err, core.ErrNotSent) {
-		newlyDown := errors.Is(err, core.ErrNoListener) && j.d.loads.Refused(r.ID)
+		newlyDown := errors.Is(err, core.ErrNoListener) && j.d.loads.ConnectionRefused(r.ID)
 		j.log.Info(logs.RunnerUnreachable, zap.String("runner", r.ID), zap.Bool("news", newlyDown), logs.Err(err))
 		if newlyDown {
 			j.d.onDown()
@@ -61,8 +61,8 @@
 
 // markFailed records a failed attempt at a runner, unless it was at an earlier instance of it.
 func (j *job) markFailed(r *core.Runner) {
-	if e := j.d.catalog.Runner(r.ID); e == nil || e.Born.Equal(r.Born) {
-		j.d.loads.Failed(r.ID)
+	if e := j.d.catalog.Runner(r.ID); e == nil || e.StartedAt.Equal(r.StartedAt) {
+		j.d.loads.RecordFailure(r.ID)
 	}
 }
 
@@ -71,7 +71,7 @@
 	j.rejections++
 	j.log.Info(logs.RunnerRejected, zap.String("runner", r.ID), zap.Int("status", reply.Status), zap.Int("rejections", j.rejections))
 	if reply.Status == http.StatusMisdirectedRequest && j.q.Adapter != "" {
-		j.d.catalog.Learn(r.ID, j.q.Model, j.q.Adapter, false)
+		j.d.catalog.RecordHolding(r.ID, j.q.Model, j.q.Adapter, false)
 	}
 	if j.rejections >= maxRejections || !j.d.budget.TakeRetry(j.service) {
 		return j.refuse("rejected", "the runners that may serve the request have no room", nil)
@@ -105,7 +105,7 @@
 		log = log.With(j.limitFields...)
 	}
 	log.Warn(logs.Refused, zap.String("code", code), zap.String("service", j.service), zap.String("model", j.q.Model),
-		zap.String("adapter", j.q.Adapter), zap.Int("runs", j.runs), zap.Int("rejections", j.rejections), zap.Strings("places", j.effective.Places), zap.Duration("retry", retry), logs.Err(err))
+		zap.String("adapter", j.q.Adapter), zap.Int("runs", j.runs), zap.Int("rejections", j.rejections), zap.Strings("places", j.effective.DataCentres), zap.Duration("retry", retry), logs.Err(err))
 	if j.runs > 0 {
 		return core.MayHaveRun(code, message)
 	}
--- a/coordination/dispatch/restart_test.go
+++ b/coordination/dispatch/restart_test.go
@@ -37,7 +37,7 @@
 				f.mu.Lock()
 				r := d.catalog.Runner(f.runs[0]).Runner
 				f.mu.Unlock()
-				r.Born = r.Born.Add(time.Second)
+				r.StartedAt = r.StartedAt.Add(time.Second)
 				d.catalog.Put(r, time.Now())
 				d.Restarted(r.ID)
 			}()
@@ -88,7 +88,7 @@
 
 // If the runners that are up are full or don't have the model, requests must not be sent
 // again and again to runners where nothing listens, and so be refused late.
-func TestRunnersThatHaveEndedAreNotTriedAgainAndAgain(t *testing.T) {
+func TestExitedRunnersAreNotRetried(t *testing.T) {
 	for _, tt := range []struct {
 		name  string
 		full  bool // the other runner is up
@@ -101,7 +101,7 @@
 		synctest.Test(t, func(t *testing.T) {
 			f := &fleet{nextAct: func(string) act { return noListener }}
 			d := newDispatcher(f, 2)
-			d.loads.Refused("r0")
+			d.loads.ConnectionRefused("r0")
 			if tt.full {
 				for range plainFull {
 					d.loads.Begin("r1")
--- a/coordination/dispatch/room_test.go
+++ b/coordination/dispatch/room_test.go
@@ -12,11 +12,11 @@
 
 // recordingPlacer records what the holder of orders is asked for and returns a fixed runner.
 type recordingPlacer struct {
-	wants  []Want
+	wants  []PlacementKey
 	runner string
 }
 
-func (a *recordingPlacer) Place(_ context.Context, w Want) (string, time.Duration, error) {
+func (a *recordingPlacer) Place(_ context.Context, w PlacementKey) (string, time.Duration, error) {
 	a.wants = append(a.wants, w)
 	if a.runner == "" {
 		return "", 0, core.ErrUnavailable
@@ -33,15 +33,15 @@
 		name    string
 		adapter string
 		prepare func(d *Dispatcher, fill func(id string))
-		wants   []Want
+		wants   []PlacementKey
 		runs    []string
 	}{
 		{"has capacity", "a1", func(*Dispatcher, func(string)) {}, nil, []string{"r0"}},
-		{"is full", "a1", func(_ *Dispatcher, fill func(string)) { fill("r0") }, []Want{{"s", "m", "a1", true}}, []string{"r1"}},
-		{"is down", "a1", func(d *Dispatcher, _ func(string)) { d.loads.Refused("r0") }, []Want{{"s", "m", "a1", true}}, []string{"r1"}},
+		{"is full", "a1", func(_ *Dispatcher, fill func(string)) { fill("r0") }, []PlacementKey{{"s", "m", "a1", true}}, []string{"r1"}},
+		{"is down", "a1", func(d *Dispatcher, _ func(string)) { d.loads.ConnectionRefused("r0") }, []PlacementKey{{"s", "m", "a1", true}}, []string{"r1"}},
 		{"all are full", "a1", func(_ *Dispatcher, fill func(string)) { fill("r0"); fill("r1") }, nil, nil},
-		{"the other is down", "a1", func(d *Dispatcher, fill func(string)) { fill("r0"); d.loads.Refused("r1") }, nil, nil},
-		{"no runner has it", "a2", func(*Dispatcher, func(string)) {}, []Want{{"s", "m", "a2", false}}, []string{"r1"}},
+		{"the other is down", "a1", func(d *Dispatcher, fill func(string)) { fill("r0"); d.loads.ConnectionRefused("r1") }, nil, nil},
+		{"no runner has it", "a2", func(*Dispatcher, func(string)) {}, []PlacementKey{{"s", "m", "a2", false}}, []string{"r1"}},
 		{"no adapter", "", func(_ *Dispatcher, fill func(string)) { fill("r0"); fill("r1") }, nil, nil},
 	}
 	for _, one := range cases {
@@ -49,7 +49,7 @@
 		d := newDispatcher(f, 2)
 		placer := &recordingPlacer{runner: "r1"}
 		d.placer = placer
-		d.catalog.Learn("r0", "m", "a1", true)
+		d.catalog.RecordHolding("r0", "m", "a1", true)
 		one.prepare(d, func(id string) {
 			for range overload * slots {
 				d.loads.Begin(id)
--- a/coordination/dispatch/send.go
+++ b/coordination/dispatch/send.go
@@ -47,7 +47,7 @@
 		j.runs++
 	}
 	if errors.Is(err, core.ErrNotSent) {
-		j.d.limits.Give(r.ID)
+		j.d.limits.Refund(r.ID)
 	}
 	if err != nil {
 		span.RecordError(err)
@@ -59,9 +59,9 @@
 		return nil, err
 	}
 	j.stage, j.answeredAt = stageHead, j.d.clock.Now()
-	j.d.limits.Answered(r.ID, reply.Info)
+	j.d.limits.ObserveAnswer(r.ID, reply.Info)
 	if reply.Info.Load != nil {
-		j.d.loads.Said(r.ID, *reply.Info.Load)
+		j.d.loads.SetReportedLoad(r.ID, *reply.Info.Load)
 	}
 	cancelSend, answerBegan := j.cancelSend, j.answerBegan
 	reply.Body = &closeHook{ReadCloser: reply.Body, onClose: func() {
@@ -75,7 +75,7 @@
 }
 
 // repeatable reports whether the request may be sent again after it may have run.
-func (j *job) repeatable() bool { return j.route.Repeatable() && j.effective.Repeat }
+func (j *job) repeatable() bool { return j.route.Repeatable() && j.effective.Repeatable }
 
 // takeRetry takes a retry from the budget, if the route allows one.
 func (j *job) takeRetry() bool {
--- a/coordination/dispatch/settings.go
+++ b/coordination/dispatch/settings.go
@@ -32,7 +32,7 @@
 }
 
 // unrestricted are the effective settings if there is no tree.
-var unrestricted = &tree.Effective{AnyPlace: true, Repeat: true, Origin: map[string]string{}}
+var unrestricted = &tree.Effective{AnyDataCentre: true, Repeatable: true, Origin: map[string]string{}}
 
 // applySettings finds the settings in force for the request and refuses it if they do not
 // allow it now. The returned function counts the request out of the limits.
@@ -46,12 +46,12 @@
 	if t == nil {
 		return func() {}, nil
 	}
-	j.effective = t.Effective(tree.Coord{Service: j.service, Model: j.q.Model})
+	j.effective = t.Effective(tree.Selector{Service: j.service, Model: j.q.Model})
 	if j.effective.Body > 0 && int64(len(j.q.Body)) > j.effective.Body {
 		return nil, j.refuseBySettings("body", core.NotRun(http.StatusRequestEntityTooLarge, "body_too_large",
 			"the body is larger than the settings' "+strconv.FormatInt(j.effective.Body, 10)+" bytes", 0))
 	}
-	if age := s.age(); j.effective.Fresh > 0 && (age < 0 || age > j.effective.Fresh) {
+	if age := s.age(); j.effective.MaxUnconfirmed > 0 && (age < 0 || age > j.effective.MaxUnconfirmed) {
 		return nil, j.refuseBySettings("fresh", core.NotRun(http.StatusServiceUnavailable, "settings_not_fresh",
 			"the settings could not be confirmed in time", staleSettingsRetry), zap.Duration("age", age))
 	}
@@ -86,6 +86,6 @@
 	if t == nil {
 		return true
 	}
-	_, ok := t.Allowed(tree.Coord{Service: j.service, Model: j.q.Model, Place: dataCentre})
+	_, ok := t.Allowed(tree.Selector{Service: j.service, Model: j.q.Model, DataCentre: dataCentre})
 	return ok
 }
--- a/coordination/dispatch/settings_test.go
+++ b/coordination/dispatch/settings_test.go
@@ -26,13 +26,13 @@
 	d := newDispatcher(f, 2)
 	for i, dataCentre := range []string{"north", "south"} {
 		r := d.catalog.Runner(fmt.Sprint("r", i)).Runner
-		r.Place = dataCentre
+		r.DataCentre = dataCentre
 		d.catalog.Put(r, d.clock.Now())
 	}
-	body, err := json.Marshal(tree.Stored{Node: &tree.Node{Set: set}})
+	body, err := json.Marshal(tree.BranchBody{Node: &tree.Node{Set: set}})
 	assert.NilError(t, err)
 	replica := tree.NewReplica(tree.WithOverlay())
-	replica.Adopt([]tree.Branch{{Name: "service/s", Version: 1, Body: body}}, 1)
+	replica.ApplyList([]tree.Branch{{Name: "service/s", Version: 1, Body: body}}, 1)
 	assert.Equal(t, len(replica.Problems()), 0)
 	WithSettings(replica, func() time.Duration { return age }, limit.New(d.clock, func() int { return 1 }))(d)
 	return d
@@ -41,7 +41,7 @@
 // Requests must obey the settings tree and not the configuration alone: otherwise regulated
 // data leaves the data centres that operators allow, or their limits are not kept. The tree
 // is checked at the first send and at each further one.
-func TestRequestsAreHeldToTheSettings(t *testing.T) {
+func TestSettingsAreEnforced(t *testing.T) {
 	south, nowhere, never := []string{"south"}, []string{"west"}, false
 	cases := []struct {
 		name  string
@@ -53,16 +53,16 @@
 		code  string
 		runs  []string
 	}{
-		{"the allowed data centre", tree.Settings{Places: &south}, 0, route(core.KindSafe, false, 2), nil, 200, "", []string{"r1"}},
-		{"no other data centre after a failure", tree.Settings{Places: &south}, 0, route(core.KindSafe, false, 2), []act{losesAnswer}, 502, "exhausted", []string{"r1"}},
-		{"no other data centre for a broken stream", tree.Settings{Places: &south}, 0, route(core.KindStream, true, 2), []act{breaksOff}, 200, "exhausted", []string{"r1"}},
-		{"a data centre without runners", tree.Settings{Places: &nowhere}, 0, route(core.KindSafe, false, 2), nil, 503, "absent", nil},
-		{"no retries", tree.Settings{Repeat: &never}, 0, route(core.KindSafe, false, 2), []act{losesAnswer}, 502, "answer_lost", []string{"r"}},
+		{"the allowed data centre", tree.Settings{DataCentres: &south}, 0, route(core.KindSafe, false, 2), nil, 200, "", []string{"r1"}},
+		{"no other data centre after a failure", tree.Settings{DataCentres: &south}, 0, route(core.KindSafe, false, 2), []act{losesAnswer}, 502, "exhausted", []string{"r1"}},
+		{"no other data centre for a broken stream", tree.Settings{DataCentres: &south}, 0, route(core.KindStream, true, 2), []act{breaksOff}, 200, "exhausted", []string{"r1"}},
+		{"a data centre without runners", tree.Settings{DataCentres: &nowhere}, 0, route(core.KindSafe, false, 2), nil, 503, "absent", nil},
+		{"no retries", tree.Settings{Repeatable: &never}, 0, route(core.KindSafe, false, 2), []act{losesAnswer}, 502, "answer_lost", []string{"r"}},
 		{"a shorter deadline", tree.Settings{Deadline: core.Duration(50 * time.Millisecond)}, 0, route(core.KindUnsafe, false, 1), []act{hangs}, 504, "timeout", []string{"r"}},
 		{"a smaller body", tree.Settings{Body: 3}, 0, route(core.KindSafe, false, 2), nil, 413, "body_too_large", nil},
-		{"fresh enough", tree.Settings{Fresh: core.Duration(time.Second)}, time.Second / 2, route(core.KindSafe, false, 2), nil, 200, "", []string{"r"}},
-		{"not confirmed for too long", tree.Settings{Fresh: core.Duration(time.Second)}, 2 * time.Second, route(core.KindSafe, false, 2), nil, 503, "settings_not_fresh", nil},
-		{"never confirmed", tree.Settings{Fresh: core.Duration(time.Second)}, -1, route(core.KindSafe, false, 2), nil, 503, "settings_not_fresh", nil},
+		{"fresh enough", tree.Settings{MaxUnconfirmed: core.Duration(time.Second)}, time.Second / 2, route(core.KindSafe, false, 2), nil, 200, "", []string{"r"}},
+		{"not confirmed for too long", tree.Settings{MaxUnconfirmed: core.Duration(time.Second)}, 2 * time.Second, route(core.KindSafe, false, 2), nil, 503, "settings_not_fresh", nil},
+		{"never confirmed", tree.Settings{MaxUnconfirmed: core.Duration(time.Second)}, -1, route(core.KindSafe, false, 2), nil, 503, "settings_not_fresh", nil},
 	}
 	for _, one := range cases {
 		synctest.Test(t, func(t *testing.T) {
@@ -101,7 +101,7 @@
 	replica := d.settings.replica
 	f.nextAct = func(id string) act {
 		other := map[string]string{"r0": "north", "r1": "south"}[id]
-		body, err := json.Marshal(tree.Stored{Node: &tree.Node{Set: tree.Settings{Places: &[]string{other}}}})
+		body, err := json.Marshal(tree.BranchBody{Node: &tree.Node{Set: tree.Settings{DataCentres: &[]string{other}}}})
 		assert.NilError(t, err)
 		replica.Apply([]tree.Branch{{Name: "service/s", Version: 2, Body: body}})
 		return breaksOff
--- a/coordination/dispatch/silence.go
+++ b/coordination/dispatch/silence.go
@@ -20,7 +20,7 @@
 	defer watch.stop()
 	reply, err := j.d.sender.Send(ctx, r, j.q, out)
 	if err == nil {
-		j.d.loads.Note(r.ID)
+		j.d.loads.RecordActivity(r.ID)
 	}
 	return reply, err
 }
@@ -60,7 +60,7 @@
 		return
 	}
 	clock := s.job.d.clock
-	lastSign := s.job.d.loads.LastHeard(s.runner)
+	lastSign := s.job.d.loads.LastActivity(s.runner)
 	if lastSign.Before(s.began) {
 		lastSign = s.began
 	}
@@ -73,7 +73,7 @@
 		s.timer = clock.AfterFunc(s.limit/2, s.check)
 		return
 	}
-	s.job.log.Info(logs.RunnerMute, zap.String("runner", s.runner), zap.Duration("limit", s.limit))
+	s.job.log.Info(logs.RunnerStalled, zap.String("runner", s.runner), zap.Duration("limit", s.limit))
 	s.cancelSend()
 }
 
--- a/coordination/dispatch/stream.go
+++ b/coordination/dispatch/stream.go
@@ -49,7 +49,7 @@
 	s.lastAt = now
 	s.reads++
 	s.j.stage = stageEvents
-	s.j.d.loads.Note(s.runner.ID)
+	s.j.d.loads.RecordActivity(s.runner.ID)
 }
 
 // stream waits for the first event. If the runner breaks off before it, the request can
@@ -66,7 +66,7 @@
 	s.ready, s.err = first, err
 	j.answerBegan()
 	if j.engine() {
-		j.d.pacer.ObserveFirstEvent(j.service, j.q.Input, j.d.clock.Since(j.sentAt))
+		j.d.pacer.ObserveFirstEvent(j.service, j.q.InputTokens, j.d.clock.Since(j.sentAt))
 	}
 	j.d.loads.Answered(r.ID)
 	s.recordEvent()
@@ -83,8 +83,8 @@
 		}
 		s.ready, s.err = s.next()
 		if s.err == io.EOF {
-			s.j.d.loads.Worked(s.runner.ID)
-			s.j.d.guard.Worked(s.j.q.Digest)
+			s.j.d.loads.RecordSuccess(s.runner.ID)
+			s.j.d.guard.Served(s.j.q.Digest)
 			s.j.d.pacer.ObserveStream(s.j.service, s.lastAt.Sub(s.firstAt))
 		}
 		if s.err != nil && s.err != io.EOF {
@@ -117,7 +117,7 @@
 		return
 	}
 	s.harmless = true
-	s.j.d.guard.Worked(s.j.q.Digest)
+	s.j.d.guard.Served(s.j.q.Digest)
 }
 
 // resume continues the stream at another runner after the last event passed on. It first
@@ -156,7 +156,7 @@
 			err = j.handleRejection(r, reply)
 		default:
 			_ = reply.Body.Close()
-			err = j.handleError(s.ctx, r, eris.Wrapf(core.ErrLost, "status %d", reply.Status))
+			err = j.handleError(s.ctx, r, eris.Wrapf(core.ErrAnswerLost, "status %d", reply.Status))
 		}
 		if err != nil {
 			return err
--- a/coordination/dispatch/stream_test.go
+++ b/coordination/dispatch/stream_test.go
@@ -30,7 +30,7 @@
 
 // A caller must not receive parts of a stream twice or miss any. If a runner breaks off in
 // the middle of an event, the next one continues after the last complete event.
-func TestStreamGoesOnAfterTheLastWholeEvent(t *testing.T) {
+func TestStreamResumesAfterLastWholeEvent(t *testing.T) {
 	f := &fleet{nextAct: script(breaksOff)}
 	_, body, err := call(newDispatcher(f, 3), route(core.KindStream, true, 2))
 	assert.NilError(t, err)
@@ -41,7 +41,7 @@
 
 // A runner that loses its power neither ends nor resets its connections. Its streams must be
 // resumed elsewhere within the two seconds after which callers give up.
-func TestSilentStreamGoesOn(t *testing.T) {
+func TestStalledStreamIsResumed(t *testing.T) {
 	for _, first := range []act{stalls, hangs} {
 		synctest.Test(t, func(t *testing.T) {
 			f := &fleet{nextAct: script(first)}
@@ -56,7 +56,7 @@
 
 // A stream whose runner is only slow must not be given up if it can't be resumed: if there
 // is no other runner, no capacity, or no retry left in the budget.
-func TestSilentStreamIsKeptWhereItCannotGoOn(t *testing.T) {
+func TestStalledStreamIsKeptIfNotResumable(t *testing.T) {
 	cases := []struct {
 		name    string
 		runners int
--- a/coordination/dispatch/turn_test.go
+++ b/coordination/dispatch/turn_test.go
@@ -46,7 +46,7 @@
 			c.Lapse(e.ID, time.Now())
 			c.Sweep(time.Now())
 		}, false},
-		{"unloads its model", func(c *catalog.Catalog, e *catalog.Entry) { c.Learn(e.ID, "m", "", false) }, false},
+		{"unloads its model", func(c *catalog.Catalog, e *catalog.Entry) { c.RecordHolding(e.ID, "m", "", false) }, false},
 	}
 	for _, one := range cases {
 		synctest.Test(t, func(t *testing.T) {
--- a/coordination/dispatch/workspace.go
+++ b/coordination/dispatch/workspace.go
@@ -28,7 +28,7 @@
 		return nil
 	}
 	j.log.Warn(logs.RefusedByAllowance, zap.String("code", codeAllowance), zap.String("workspace", w.Name), zap.Float64("units", j.units), zap.Bool("invalid", w.Invalid),
-		zap.Float64("left", a.Left), zap.Float64("asked", a.Asked), zap.Int("heard", a.Heard), zap.Int("known", a.Known), zap.Duration("age", a.Age), zap.Duration("retry", a.Retry))
+		zap.Float64("left", a.Available), zap.Float64("asked", a.Demand), zap.Int("heard", a.ReachableDaemons), zap.Int("known", a.TotalDaemons), zap.Duration("age", a.Age), zap.Duration("retry", a.Retry))
 	return core.NotRun(http.StatusTooManyRequests, codeAllowance, "the workspace's allowance is used up", a.Retry)
 }
 
@@ -42,7 +42,7 @@
 // refundAllowance refunds what was taken for a request that has not run.
 func (j *job) refundAllowance() {
 	if j.q.Workspace != nil && j.runs == 0 {
-		j.d.allowance.Give(j.q.Workspace, j.units)
+		j.d.allowance.Refund(j.q.Workspace, j.units)
 	}
 }
 
--- a/coordination/dispatch/workspace_test.go
+++ b/coordination/dispatch/workspace_test.go
@@ -30,7 +30,7 @@
 
 func (a *fakeAllowance) Charge(_ *core.Workspace, units float64) { a.charged += units }
 
-func (a *fakeAllowance) Give(_ *core.Workspace, units float64) { a.refunded += units }
+func (a *fakeAllowance) Refund(_ *core.Workspace, units float64) { a.refunded += units }
 
 var callerKey = core.KeyIDOf("k")
 
@@ -47,7 +47,7 @@
 
 // callKeyed serves one request of a workspace.
 func callKeyed(d *Dispatcher, r *core.Route) (*core.RequestError, error) {
-	q := &core.Request{ID: "q", Model: "m", Header: http.Header{}, Arrived: d.clock.Now(), Timeout: 3 * time.Second, Input: 7, MaxOutput: 3, Counted: true, Key: callerKey, Workspace: d.catalog.Config().Workspace(callerKey)}
+	q := &core.Request{ID: "q", Model: "m", Header: http.Header{}, Arrived: d.clock.Now(), Timeout: 3 * time.Second, InputTokens: 7, MaxOutputTokens: 3, TokensKnown: true, Key: callerKey, Workspace: d.catalog.Config().Workspace(callerKey)}
 	reply, err := d.Do(context.Background(), r, q)
 	if err != nil {
 		return core.AsRequestError(err), nil
@@ -94,7 +94,7 @@
 
 // A request whose key is removed while it is in progress must not be sent to another runner,
 // and one whose key now belongs to another workspace must count for that one.
-func TestKeysTakenAwayOnTheWay(t *testing.T) {
+func TestKeyRemovedDuringRequest(t *testing.T) {
 	stream := route(core.KindStream, true, 3)
 	for _, tt := range []struct {
 		name    string
--- a/coordination/entry/addresses.go
+++ b/coordination/entry/addresses.go
@@ -30,7 +30,7 @@
 	add := func(m core.Member, isOwner bool) {
 		listed := slices.ContainsFunc(out, func(a Address) bool { return a.Member == m.Name })
 		if m.State == core.MemberAlive && !listed && len(out) < maxAddresses {
-			out = append(out, Address{Member: m.Name, DataCentre: m.Place, Addr: m.Caller, Owner: isOwner})
+			out = append(out, Address{Member: m.Name, DataCentre: m.DataCentre, Addr: m.Caller, Owner: isOwner})
 		}
 	}
 	if model != "" {
@@ -58,21 +58,21 @@
 	reports, _ := e.locator.find(ctx, directory.ModelKey(model))
 	reports = slices.Clone(reports)
 	slices.SortStableFunc(reports, func(a, b directory.Report) int {
-		if (a.Place == dataCentre) != (b.Place == dataCentre) {
-			if a.Place == dataCentre {
+		if (a.DataCentre == dataCentre) != (b.DataCentre == dataCentre) {
+			if a.DataCentre == dataCentre {
 				return -1
 			}
 			return 1
 		}
 		return int(a.Wait - b.Wait)
 	})
-	request := Ask{Service: t.ServiceOf(model), Model: model}
+	request := Request{Service: t.ServiceOf(model), Model: model}
 	var out []core.Member
 	for _, r := range reports {
-		if _, ok := t.Allowed(request.coord(r.Place)); !ok || r.Leaving {
+		if _, ok := t.Allowed(request.coord(r.DataCentre)); !ok || r.Leaving {
 			continue
 		}
-		if m, ok := owner.Of(e.members, r.Runner, r.Place); ok {
+		if m, ok := owner.Of(e.members, r.Runner, r.DataCentre); ok {
 			out = append(out, m)
 		}
 	}
--- a/coordination/entry/attempts.go
+++ b/coordination/entry/attempts.go
@@ -41,7 +41,7 @@
 // complete answer or final error.
 type execution struct {
 	e            *Entry
-	request      *Ask
+	request      *Request
 	held         *answer.Held
 	relay        *relay
 	excluded     map[string]bool    // runners that refused the request or failed
@@ -56,9 +56,9 @@
 // runner is tried without charge to the retry budget. An attempt that may have
 // run is retried only if the request is repeatable and the retry budget allows
 // it.
-func (e *Entry) runAttempts(ctx context.Context, a *Ask, held *answer.Held) error {
+func (e *Entry) runAttempts(ctx context.Context, a *Request, held *answer.Held) error {
 	x := &execution{e: e, request: a, held: held, relay: newRelay(a, held.Buffer), excluded: map[string]bool{}}
-	e.budget.First()
+	e.budget.CountFirst()
 	for ; x.attemptCount < maxAttempts; x.attemptCount++ {
 		runner, err := x.chooseRunner(ctx)
 		if err != nil {
@@ -100,9 +100,9 @@
 		return nil
 	}
 	x.possibleRuns++
-	x.e.health.Failed(runner.Runner)
+	x.e.health.RecordFailure(runner.Runner)
 	x.lastErr = re
-	if !x.request.Repeat {
+	if !x.request.Repeatable {
 		return re
 	}
 	if x.relay.completeStream(ctx) {
@@ -111,7 +111,7 @@
 	if !x.relay.canContinue() {
 		return re
 	}
-	if !x.e.budget.Retry() {
+	if !x.e.budget.TakeRetry() {
 		re.Retry = time.Second
 		return re
 	}
@@ -148,7 +148,7 @@
 	giveUpAt := x.e.clock.Now().Add(runnerTimeout)
 	for {
 		candidates, known := x.candidates(ctx)
-		requirements := route.Ask{Place: x.e.members.Self().Place, Prefix: x.request.Prefix}
+		requirements := route.Requirements{DataCentre: x.e.members.Self().DataCentre, Prefix: x.request.Prefix}
 		if i := requirements.Choose(candidates); i >= 0 {
 			return candidates[i].Report, nil
 		}
@@ -184,10 +184,10 @@
 	var out []route.Candidate
 	known := false
 	for _, r := range reports {
-		if _, ok := t.Allowed(x.request.coord(r.Place)); !ok || r.Leaving {
+		if _, ok := t.Allowed(x.request.coord(r.DataCentre)); !ok || r.Leaving {
 			continue
 		}
-		m, ok := owner.Of(x.e.members, r.Runner, r.Place)
+		m, ok := owner.Of(x.e.members, r.Runner, r.DataCentre)
 		if !ok {
 			continue
 		}
@@ -224,7 +224,7 @@
 		err = x.relay.finish(ctx)
 	}
 	if err == nil {
-		x.e.health.Worked(runner.Runner)
+		x.e.health.RecordSuccess(runner.Runner)
 	}
 	return err
 }
@@ -233,20 +233,20 @@
 func (x *execution) newRequest(id, runner string) owner.Request {
 	a := x.request
 	return owner.Request{
-		Request:  a.ID,
-		Attempt:  id,
-		Service:  a.Service,
-		Model:    a.Model,
-		Runner:   runner,
-		Class:    a.Class,
-		Deadline: a.Deadline,
-		Method:   a.Method,
-		Path:     a.Path,
-		Header:   a.Header,
-		Body:     x.relay.nextBody(),
-		Repeat:   a.Repeat,
-		Retry:    x.retries > 0,
-		Digest:   a.Digest,
+		RequestID:  a.ID,
+		AttemptID:  id,
+		Service:    a.Service,
+		Model:      a.Model,
+		Runner:     runner,
+		Class:      a.Class,
+		Deadline:   a.Deadline,
+		Method:     a.Method,
+		Path:       a.Path,
+		Header:     a.Header,
+		Body:       x.relay.nextBody(),
+		Repeatable: a.Repeatable,
+		Retry:      x.retries > 0,
+		Digest:     a.Digest,
 	}
 }
 
@@ -257,19 +257,19 @@
 	defer detach()
 	head, err := running.Buffer.Head(ctx)
 	if err != nil {
-		return x.abandon(ctx, running.Attempt, err)
+		return x.abandon(ctx, running.AttemptID, err)
 	}
 	x.relay.SetHead(*head)
 	for offset := int64(0); ; {
 		data, whole, err := running.Buffer.Next(ctx, offset)
 		if err != nil {
-			return x.abandon(ctx, running.Attempt, err)
+			return x.abandon(ctx, running.AttemptID, err)
 		}
 		if whole {
 			return nil
 		}
 		if err := x.relay.Append(ctx, data); err != nil {
-			return x.abandon(ctx, running.Attempt, err)
+			return x.abandon(ctx, running.AttemptID, err)
 		}
 		offset += int64(len(data))
 	}
@@ -313,20 +313,20 @@
 	startOffset := x.relay.received()
 	stream, err := x.e.dial(m.Peer).Dispatch(ctx, connect.NewRequest(DispatchToWire(req, sentAt)))
 	if err == nil {
-		err = x.readFrames(ctx, stream, req.Attempt, 0)
+		err = x.readFrames(ctx, stream, req.AttemptID, 0)
 		_ = stream.Close()
 	} else {
-		err = peer.Unwrap(err)
+		err = peer.FromConnectError(err)
 	}
-	if peer.NeverSent(err) && x.relay.received() == startOffset {
+	if peer.IsDialError(err) && x.relay.received() == startOffset {
 		return core.NotRun(http.StatusServiceUnavailable, "owner_unreachable", "cannot connect to the runner's owner", time.Second)
 	}
 	for try := 0; errors.Is(err, core.ErrUnavailable) && try < maxResumes && x.shouldResume(ctx, m); try++ {
 		x.e.count("resumes")
-		err = x.resume(ctx, m, req.Attempt, startOffset)
+		err = x.resume(ctx, m, req.AttemptID, startOffset)
 	}
 	if errors.Is(err, core.ErrNotFound) || ctx.Err() != nil {
-		return x.cancelRemote(m, req.Attempt, sentAt, err)
+		return x.cancelRemote(m, req.AttemptID, sentAt, err)
 	}
 	if errors.Is(err, core.ErrUnavailable) || errors.Is(err, core.ErrGone) {
 		return core.MayHaveRun("owner_lost", "cannot read the rest of the answer from the runner's owner: "+err.Error())
@@ -342,7 +342,7 @@
 		return false
 	}
 	now, err := x.e.members.Get(m.Name)
-	return !x.request.Repeat || err == nil && now.State < core.MemberSuspect
+	return !x.request.Repeatable || err == nil && now.State < core.MemberSuspect
 }
 
 // readFrames copies the frames of an attempt, from offset on, to the caller's
@@ -362,7 +362,7 @@
 	offset := x.relay.received() - startOffset
 	stream, err := x.e.dial(m.Peer).Resume(ctx, connect.NewRequest(&peerv1.ResumeRequest{Attempt: attempt, Offset: offset}))
 	if err != nil {
-		return peer.Unwrap(err)
+		return peer.FromConnectError(err)
 	}
 	defer stream.Close()
 	return x.readFrames(ctx, stream, attempt, offset)
@@ -372,14 +372,14 @@
 // is barred and never runs, and one that has arrived is stopped. Unless the owner
 // confirms that the attempt is barred, the outcome is uncertain. The confirmation
 // counts only from the incarnation that the attempt was sent to, and only within
-// owner.AttemptLife, while that daemon still has the ids of ended attempts.
+// owner.AttemptRetention, while that daemon still has the ids of ended attempts.
 // Otherwise an owner could confirm that it never received an attempt that has run.
 func (x *execution) cancelRemote(m core.Member, attempt string, sentAt time.Time, cause error) error {
 	ctx, cancel := context.WithTimeout(context.Background(), cancelTimeout)
 	defer cancel()
 	resp, err := x.e.dial(m.Peer).Cancel(ctx, connect.NewRequest(&peerv1.CancelRequest{Attempt: attempt}))
 	confirmed := err == nil && resp.Msg.Barred && resp.Msg.Boot == m.Boot
-	if confirmed && x.e.clock.Since(sentAt) < owner.AttemptLife {
+	if confirmed && x.e.clock.Since(sentAt) < owner.AttemptRetention {
 		return core.NotRun(http.StatusServiceUnavailable, "not_arrived", "the attempt had not reached the runner's owner", time.Second)
 	}
 	if cause == nil || errors.Is(cause, core.ErrNotFound) {
@@ -392,8 +392,8 @@
 // time left, in milliseconds.
 func DispatchToWire(r owner.Request, now time.Time) *peerv1.DispatchRequest {
 	msg := &peerv1.DispatchRequest{
-		Request: r.Request,
-		Attempt: r.Attempt,
+		Request: r.RequestID,
+		Attempt: r.AttemptID,
 		Service: r.Service,
 		Model:   r.Model,
 		Runner:  r.Runner,
@@ -402,7 +402,7 @@
 		Method:  r.Method,
 		Path:    r.Path,
 		Body:    r.Body,
-		Repeat:  r.Repeat,
+		Repeat:  r.Repeatable,
 		Retry:   r.Retry,
 		Digest:  r.Digest[:],
 	}
@@ -413,20 +413,20 @@
 // DispatchFromWire decodes the message of an attempt.
 func DispatchFromWire(msg *peerv1.DispatchRequest, now time.Time) owner.Request {
 	return owner.Request{
-		Request:  msg.Request,
-		Attempt:  msg.Attempt,
-		Service:  msg.Service,
-		Model:    msg.Model,
-		Runner:   msg.Runner,
-		Class:    core.Class(msg.Class),
-		Deadline: now.Add(time.Duration(msg.Timeout) * time.Millisecond),
-		Method:   msg.Method,
-		Path:     msg.Path,
-		Header:   headFromWire(&peerv1.Head{Headers: msg.Headers}).Header,
-		Body:     msg.Body,
-		Repeat:   msg.Repeat,
-		Retry:    msg.Retry,
-		Digest:   digestFromWire(msg.Digest),
+		RequestID:  msg.Request,
+		AttemptID:  msg.Attempt,
+		Service:    msg.Service,
+		Model:      msg.Model,
+		Runner:     msg.Runner,
+		Class:      core.Class(msg.Class),
+		Deadline:   now.Add(time.Duration(msg.Timeout) * time.Millisecond),
+		Method:     msg.Method,
+		Path:       msg.Path,
+		Header:     headFromWire(&peerv1.Head{Headers: msg.Headers}).Header,
+		Body:       msg.Body,
+		Repeatable: msg.Repeat,
+		Retry:      msg.Retry,
+		Digest:     digestFromWire(msg.Digest),
 	}
 }
 
--- a/coordination/entry/entry.go
+++ b/coordination/entry/entry.go
@@ -32,8 +32,8 @@
 	pointerDaemons = 2 // daemons that store which daemon accepted a request
 	pointerTimeout = time.Second
 	pointerTTL     = 15 * time.Minute
-	// AddressLife is how long a caller may use an address that Addresses returned.
-	AddressLife = 10 * time.Second
+	// AddressTTL is how long a caller may use an address that Addresses returned.
+	AddressTTL = 10 * time.Second
 	// codeClaimUnavailable is the code of errors for requests with an idempotency
 	// key while the platform is unavailable, and claimRetryAfter their retry delay.
 	codeClaimUnavailable = "claim_unavailable"
@@ -52,12 +52,12 @@
 	log     *zap.Logger
 	scope   tally.Scope
 
-	answers  *answer.Keep
+	answers  *answer.Cache
 	pointers *pointerTable
 	locator  *locator
 	limits   *limit.Table
 	demand   *Demand
-	budget   *route.Budget
+	budget   *route.RetryBudget
 	health   *route.Health
 	guard    core.Guard
 
@@ -76,9 +76,9 @@
 // WithScope sets the metrics scope.
 func WithScope(s tally.Scope) Option { return func(e *Entry) { e.scope = s } }
 
-// WithHeld sets how many bytes of finished answers are stored, and for how long.
-func WithHeld(maxBytes int64, ttl time.Duration) Option {
-	return func(e *Entry) { e.answers = answer.NewKeep(e.clock, maxBytes, ttl) }
+// WithAnswerLimits sets how many bytes of finished answers are stored, and for how long.
+func WithAnswerLimits(maxBytes int64, ttl time.Duration) Option {
+	return func(e *Entry) { e.answers = answer.NewCache(e.clock, maxBytes, ttl) }
 }
 
 // WithGuard sets the guard that admits or refuses each attempt.
@@ -96,11 +96,11 @@
 		clock:    clock,
 		log:      zap.NewNop(),
 		scope:    tally.NoopScope,
-		answers:  answer.NewKeep(clock, maxAnswerBytes, answerTTL),
+		answers:  answer.NewCache(clock, maxAnswerBytes, answerTTL),
 		pointers: newPointerTable(clock, pointerTTL),
 		limits:   limit.New(clock, func() int { return len(members.All()) }),
 		demand:   NewDemand(clock),
-		budget:   route.NewBudget(),
+		budget:   route.NewRetryBudget(),
 		health:   route.NewHealth(clock),
 		guard:    core.NoGuard{},
 		running:  map[string]context.CancelFunc{},
@@ -150,8 +150,8 @@
 	return len(e.running)
 }
 
-// HeldBytes returns the size of the stored finished answers in bytes.
-func (e *Entry) HeldBytes() int64 { return e.answers.Bytes() }
+// StoredBytes returns the size of the stored finished answers in bytes.
+func (e *Entry) StoredBytes() int64 { return e.answers.Bytes() }
 
 // Demand returns the demand measured by this entry.
 func (e *Entry) Demand() *Demand { return e.demand }
@@ -162,7 +162,7 @@
 // Begin starts a request and returns the buffer that receives its answer. If a
 // request with the same id or key is already stored here, Begin returns the
 // buffer of that one.
-func (e *Entry) Begin(ctx context.Context, a *Ask) (*answer.Buffer, error) {
+func (e *Entry) Begin(ctx context.Context, a *Request) (*answer.Buffer, error) {
 	t := e.replica.Tree()
 	if t == nil {
 		return nil, core.NotRun(http.StatusServiceUnavailable, "starting", "there are no settings yet", time.Second)
@@ -173,14 +173,14 @@
 	}
 	held, created := e.answers.Begin(a.answerKey(), a.fingerprint())
 	if !created {
-		if held.Print != a.fingerprint() {
+		if held.Fingerprint != a.fingerprint() {
 			return nil, keyReusedError()
 		}
 		e.count("joined")
 		return held.Buffer, nil
 	}
 	a.Digest = a.digest()
-	if retryAfter := e.guard.Held(a.Digest); retryAfter > 0 && !a.Returns {
+	if retryAfter := e.guard.HoldRemaining(a.Digest); retryAfter > 0 && !a.MayReconnect {
 		e.answers.Forget(held)
 		return nil, core.HeldBack(0, retryAfter)
 	}
@@ -206,12 +206,12 @@
 	return core.NotRun(http.StatusUnprocessableEntity, "id_reused", "the request id or key was used for another request", 0)
 }
 
-// Leave handles a caller that disconnects before its answer is complete. The
+// CallerDisconnected handles a caller that disconnects before its answer is complete. The
 // request is cancelled if the caller cannot fetch the answer later. A request
 // that is not repeatable runs to its end, since cancelling it could leave its
 // work half done.
-func (e *Entry) Leave(a *Ask) {
-	if a.Returns || !a.Repeat {
+func (e *Entry) CallerDisconnected(a *Request) {
+	if a.MayReconnect || !a.Repeatable {
 		return
 	}
 	e.mu.Lock()
@@ -224,7 +224,7 @@
 
 // run executes a request and ends its answer. release frees the slot that the
 // request occupies under the concurrency limit.
-func (e *Entry) run(ctx context.Context, a *Ask, held *answer.Held, release func()) {
+func (e *Entry) run(ctx context.Context, a *Request, held *answer.Held, release func()) {
 	defer e.wg.Done()
 	defer release()
 	defer e.finish(a, held)
@@ -238,7 +238,7 @@
 
 // finish stores an answer that its caller may fetch again. A refusal is not
 // stored, so that the caller can retry with the same id.
-func (e *Entry) finish(a *Ask, held *answer.Held) {
+func (e *Entry) finish(a *Request, held *answer.Held) {
 	e.mu.Lock()
 	cancel := e.running[a.answerKey()]
 	delete(e.running, a.answerKey())
@@ -254,25 +254,25 @@
 		return
 	default:
 		e.count("may_have_run")
-		if a.Repeat {
+		if a.Repeatable {
 			e.answers.Forget(held)
 			return
 		}
 	}
-	e.answers.Finished(held)
+	e.answers.MarkFinished(held)
 }
 
 // execute joins the request if another daemon has accepted it already. Otherwise
 // it claims the key of a request that must run at most once, and runs it.
-func (e *Entry) execute(ctx context.Context, a *Ask, held *answer.Held) error {
-	if a.Returns {
+func (e *Entry) execute(ctx context.Context, a *Request, held *answer.Held) error {
+	if a.MayReconnect {
 		found, err := e.joinRemote(ctx, a, held)
 		if found || err != nil {
 			return err
 		}
 	}
-	atMostOnce := !a.Repeat && a.Key != ""
-	if retryAfter := e.guard.Held(a.Digest); retryAfter > 0 {
+	atMostOnce := !a.Repeatable && a.Key != ""
+	if retryAfter := e.guard.HoldRemaining(a.Digest); retryAfter > 0 {
 		if atMostOnce {
 			return e.joinQuarantined(ctx, a, held, retryAfter)
 		}
@@ -289,7 +289,7 @@
 // idempotency key. If the key was used before, the request may have run, which
 // only the claim on the platform shows.
 // retryAfter is the time until the hold on the request expires.
-func (e *Entry) joinQuarantined(ctx context.Context, a *Ask, held *answer.Held, retryAfter time.Duration) error {
+func (e *Entry) joinQuarantined(ctx context.Context, a *Request, held *answer.Held, retryAfter time.Duration) error {
 	body, err := e.claims.Find(ctx, a.answerKey())
 	switch {
 	case errors.Is(err, core.ErrNotFound):
@@ -306,7 +306,7 @@
 // The key is claimed on the platform before anything is sent. Another daemon that
 // receives the same key at the same time, or after this daemon has failed, finds
 // the claim and does not send the request.
-func (e *Entry) executeOnce(ctx context.Context, a *Ask, held *answer.Held) error {
+func (e *Entry) executeOnce(ctx context.Context, a *Request, held *answer.Held) error {
 	c, body, err := e.claims.Take(ctx, a.answerKey(), a.fingerprint())
 	switch {
 	case errors.Is(err, core.ErrExists):
@@ -317,14 +317,14 @@
 	err = e.runAttempts(ctx, a, held)
 	var re *core.RequestError
 	if errors.As(err, &re) && re.Outcome == core.OutcomeNotRun {
-		e.claims.GiveBack(c)
+		e.claims.Release(c)
 	}
 	return err
 }
 
 // joinClaim fetches the answer from the daemon that claimed the key.
-func (e *Entry) joinClaim(ctx context.Context, a *Ask, held *answer.Held, body claim.Body) error {
-	if body.Print != a.fingerprint() {
+func (e *Entry) joinClaim(ctx context.Context, a *Request, held *answer.Held, body claim.Body) error {
+	if body.Fingerprint != a.fingerprint() {
 		return keyReusedError()
 	}
 	unknown := core.MayHaveRun("already_claimed", "the key was used before and its answer is no longer held")
--- a/coordination/entry/frames.go
+++ b/coordination/entry/frames.go
@@ -61,7 +61,7 @@
 		}
 	}
 	if err := s.Err(); err != nil {
-		return peer.Unwrap(err)
+		return peer.FromConnectError(err)
 	}
 	return errors.Join(core.ErrUnavailable, errors.New("frames ended without an end marker"))
 }
@@ -99,7 +99,7 @@
 	if errors.As(err, &re) {
 		return send(&peerv1.Frame{Attempt: attempt, Fail: FailToWire(re)})
 	}
-	return peer.Wrap(err)
+	return peer.ToConnectError(err)
 }
 
 // FailToWire encodes a request error as a message.
--- a/coordination/entry/held.go
+++ b/coordination/entry/held.go
@@ -61,12 +61,12 @@
 	}
 }
 
-// Point stores a pointer: which daemon accepted a request.
-func (e *Entry) Point(key, member string) { e.pointers.put(key, member) }
+// StorePointer stores a pointer: which daemon accepted a request.
+func (e *Entry) StorePointer(key, member string) { e.pointers.put(key, member) }
 
-// Find returns the daemon that stores a request's answer, from the answers and
+// FindAnswer returns the daemon that stores a request's answer, from the answers and
 // pointers of this daemon.
-func (e *Entry) Find(key string) (string, error) {
+func (e *Entry) FindAnswer(key string) (string, error) {
 	if _, err := e.answers.Get(key); err == nil {
 		return e.members.Self().Name, nil
 	}
@@ -78,7 +78,7 @@
 
 // sendPointers sends a pointer to this daemon to the daemons that the answer key
 // hashes to. It runs in the background and does not delay the request.
-func (e *Entry) sendPointers(a *Ask) {
+func (e *Entry) sendPointers(a *Request) {
 	key := a.answerKey()
 	self := e.members.Self().Name
 	for _, m := range e.members.Rank("req/"+key, "", pointerDaemons) {
@@ -103,7 +103,7 @@
 // locate returns the daemon that accepted a request, from this daemon's tables or
 // from the daemons that the key hashes to.
 func (e *Entry) locate(ctx context.Context, key string) (string, error) {
-	if member, err := e.Find(key); err == nil && e.isMember(member) {
+	if member, err := e.FindAnswer(key); err == nil && e.isMember(member) {
 		return member, nil
 	}
 	self := e.members.Self().Name
@@ -131,7 +131,7 @@
 
 // joinRemote fetches the answer from the daemon that has accepted the request
 // already. found is false if there is none and the request has to run here.
-func (e *Entry) joinRemote(ctx context.Context, a *Ask, held *answer.Held) (found bool, err error) {
+func (e *Entry) joinRemote(ctx context.Context, a *Request, held *answer.Held) (found bool, err error) {
 	member, err := e.locate(ctx, a.answerKey())
 	if err != nil || member == e.members.Self().Name {
 		return false, nil
@@ -144,7 +144,7 @@
 	if held.Buffer.Len() > 0 {
 		return true, core.MayHaveRun("holder_lost", "cannot read the rest of the answer from the daemon that stores it")
 	}
-	if errors.As(err, &re) || a.Repeat || a.Key != "" {
+	if errors.As(err, &re) || a.Repeatable || a.Key != "" {
 		// The request did not run there, or is repeatable, or the claim decides.
 		return false, nil
 	}
@@ -165,7 +165,7 @@
 			err = copyFrames(ctx, stream, held.Buffer, "", held.Buffer.Len())
 			_ = stream.Close()
 		} else {
-			err = peer.Unwrap(err)
+			err = peer.FromConnectError(err)
 		}
 		if !errors.Is(err, core.ErrUnavailable) || try == maxFetchRetries {
 			return err
@@ -175,9 +175,9 @@
 
 const maxFetchRetries = 2
 
-// Held returns the answer of a request that this daemon accepted or received by
+// StoredAnswer returns the answer of a request that this daemon accepted or received by
 // handover.
-func (e *Entry) Held(key string) (*answer.Buffer, error) {
+func (e *Entry) StoredAnswer(key string) (*answer.Buffer, error) {
 	h, err := e.answers.Get(key)
 	if err != nil {
 		return nil, err
@@ -185,10 +185,10 @@
 	return h.Buffer, nil
 }
 
-// Return returns the answer of an earlier request to a caller that reconnects. It
+// Reconnect returns the answer of an earlier request to a caller that reconnects. It
 // fetches the answer from another daemon if that one stores it. The error is
 // ErrGone if the answer is no longer stored.
-func (e *Entry) Return(ctx context.Context, scope, id string) (*answer.Buffer, error) {
+func (e *Entry) Reconnect(ctx context.Context, scope, id string) (*answer.Buffer, error) {
 	key := AnswerKey(scope, id)
 	h, err := e.answers.Get(key)
 	if err == nil {
@@ -249,7 +249,7 @@
 // holdMessage encodes a finished answer. It returns nil if the start of the
 // answer's data has been dropped.
 func holdMessage(ctx context.Context, h *answer.Held) *peerv1.HoldRequest {
-	msg := &peerv1.HoldRequest{Request: h.Key, Print: h.Print}
+	msg := &peerv1.HoldRequest{Request: h.Key, Print: h.Fingerprint}
 	if head, err := h.Buffer.Head(ctx); err == nil {
 		msg.Head = headToWire(head)
 	}
@@ -264,8 +264,8 @@
 	return msg
 }
 
-// Take stores a finished answer that a leaving daemon hands over.
-func (e *Entry) Take(msg *peerv1.HoldRequest) {
+// StoreAnswer stores a finished answer that a leaving daemon hands over.
+func (e *Entry) StoreAnswer(msg *peerv1.HoldRequest) {
 	held, created := e.answers.Begin(msg.Request, msg.Print)
 	if !created {
 		return
@@ -281,5 +281,5 @@
 	} else {
 		held.Buffer.Finish()
 	}
-	e.answers.Finished(held)
+	e.answers.MarkFinished(held)
 }
--- a/coordination/entry/locator.go
+++ b/coordination/entry/locator.go
@@ -137,9 +137,9 @@
 	return ReportsFromWire(resp.Msg, l.e.clock.Now()), nil
 }
 
-// Directory returns the reports of the runners that serve a key, by a lookup that
+// LookupRunners returns the reports of the runners that serve a key, by a lookup that
 // bypasses the cache.
-func (e *Entry) Directory(ctx context.Context, key string) []directory.Report {
+func (e *Entry) LookupRunners(ctx context.Context, key string) []directory.Report {
 	reports, _ := e.locator.lookup(ctx, key)
 	return reports
 }
@@ -163,7 +163,7 @@
 	for _, r := range reports {
 		msg.Reports = append(msg.Reports, &peerv1.Report{
 			Runner:  r.Runner,
-			Place:   r.Place,
+			Place:   r.DataCentre,
 			Owner:   r.Owner,
 			Service: r.Service,
 			Models:  r.Models,
@@ -183,17 +183,17 @@
 	out := make([]directory.Report, 0, len(msg.Reports))
 	for _, r := range msg.Reports {
 		out = append(out, directory.Report{
-			Runner:  r.Runner,
-			Place:   r.Place,
-			Owner:   r.Owner,
-			Service: r.Service,
-			Models:  r.Models,
-			Slots:   int(r.Slots),
-			Running: int(r.Running),
-			Queued:  int(r.Queued),
-			Wait:    time.Duration(r.Wait) * time.Millisecond,
-			Leaving: r.Leaving,
-			At:      now.Add(-time.Duration(r.Age) * time.Millisecond),
+			Runner:     r.Runner,
+			DataCentre: r.Place,
+			Owner:      r.Owner,
+			Service:    r.Service,
+			Models:     r.Models,
+			Slots:      int(r.Slots),
+			Running:    int(r.Running),
+			Queued:     int(r.Queued),
+			Wait:       time.Duration(r.Wait) * time.Millisecond,
+			Leaving:    r.Leaving,
+			At:         now.Add(-time.Duration(r.Age) * time.Millisecond),
 		})
 	}
 	return out
--- a/coordination/entry/relay.go
+++ b/coordination/entry/relay.go
@@ -21,7 +21,7 @@
 // complete events of a stream, or the complete answer if it is short, so that
 // another attempt can continue after a failure.
 type relay struct {
-	request       *Ask
+	request       *Request
 	out           *answer.Buffer
 	runner        directory.Report
 	receivedBytes int64 // body bytes received, over all attempts
@@ -32,7 +32,7 @@
 	continuing    bool         // whether this attempt continues an earlier attempt's stream
 }
 
-func newRelay(a *Ask, out *answer.Buffer) *relay {
+func newRelay(a *Request, out *answer.Buffer) *relay {
 	return &relay{request: a, out: out}
 }
 
@@ -61,7 +61,7 @@
 		h.Header.Del(name)
 	}
 	h.Header.Set(core.HeaderRunner, r.runner.Runner)
-	h.Header.Set(core.HeaderPlace, r.runner.Place)
+	h.Header.Set(core.HeaderDataCentre, r.runner.DataCentre)
 	r.head = &h
 	r.eventStream = h.Status == http.StatusOK && strings.HasPrefix(h.Header.Get("Content-Type"), "text/event-stream")
 	if r.eventStream {
@@ -121,7 +121,7 @@
 		}
 		return nil
 	}
-	if r.head != nil && !r.forwarded && r.request.Model != "" && r.request.Repeat && isRejection(r.head.Status) {
+	if r.head != nil && !r.forwarded && r.request.Model != "" && r.request.Repeatable && isRejection(r.head.Status) {
 		return core.MayHaveRun("engine_refused", http.StatusText(r.head.Status))
 	}
 	// An engine can end its HTTP message properly in the middle of the answer.
--- a/coordination/entry/relay_test.go
+++ b/coordination/entry/relay_test.go
@@ -44,7 +44,7 @@
 		ctx := context.Background()
 		out := answer.NewBuffer()
 		body := `{"model":"m","max_tokens":8,"messages":[{"role":"user","content":"x"}]}`
-		r := newRelay(&Ask{Model: "m", Path: pathChat, Body: []byte(body), Repeat: true}, out)
+		r := newRelay(&Request{Model: "m", Path: pathChat, Body: []byte(body), Repeatable: true}, out)
 		r.beginAttempt(directory.Report{Runner: "r1"})
 		r.SetHead(eventHead())
 		step := int(chunkSize)%97 + 1
@@ -104,7 +104,7 @@
 	for _, tt := range cases {
 		ctx := context.Background()
 		out := answer.NewBuffer()
-		r := newRelay(&Ask{Model: "m", Path: pathChat, Repeat: true}, out)
+		r := newRelay(&Request{Model: "m", Path: pathChat, Repeatable: true}, out)
 		r.beginAttempt(directory.Report{})
 		r.SetHead(answer.Head{Status: tt.status, Header: http.Header{"Content-Type": {tt.kind}}})
 		assert.NilError(t, r.Append(ctx, []byte(tt.body)))
@@ -129,7 +129,7 @@
 	for _, tt := range cases {
 		ctx := context.Background()
 		out := answer.NewBuffer()
-		r := newRelay(&Ask{Model: "m", Path: pathChat, Repeat: true, Body: []byte(`{"max_tokens":2,"messages":[]}`)}, out)
+		r := newRelay(&Request{Model: "m", Path: pathChat, Repeatable: true, Body: []byte(`{"max_tokens":2,"messages":[]}`)}, out)
 		r.beginAttempt(directory.Report{})
 		r.SetHead(eventHead())
 		assert.NilError(t, r.Append(ctx, []byte(tt.stream)))
--- a/coordination/lease/lease.go
+++ b/coordination/lease/lease.go
@@ -53,13 +53,13 @@
 	Idle core.Duration `json:"idle"`
 }
 
-// Rival is the daemon that holds the lease, as seen by another one.
-type Rival interface {
-	// Fresh reports whether another daemon has renewed the lease recently.
-	Fresh() bool
-	// AskYield requests the holder of a term to give it up. If it does, ok is true and idle
+// CurrentHolder is the daemon that holds the lease, as seen by another one.
+type CurrentHolder interface {
+	// RenewedRecently reports whether another daemon has renewed the lease recently.
+	RenewedRecently() bool
+	// RequestYield requests the holder of a term to give it up. If it does, ok is true and idle
 	// is how long ago it sent its last order.
-	AskYield(ctx context.Context, term uint64) (idle time.Duration, ok bool)
+	RequestYield(ctx context.Context, term uint64) (idle time.Duration, ok bool)
 }
 
 // Lease is one daemon's view of the lease.
@@ -72,7 +72,7 @@
 	clock         core.Clock
 	bootTime      func() time.Duration
 	log           *zap.Logger
-	holder        Rival
+	holder        CurrentHolder
 	isCandidate   func() bool // whether this daemon should take over from another
 
 	mu             sync.Mutex
@@ -102,7 +102,7 @@
 func WithCandidate(fn func() bool) Option { return func(l *Lease) { l.isCandidate = fn } }
 
 // New returns a Lease. pause is the minimum time between the orders of two holders.
-func New(store core.Platform, kind, name, self string, pause time.Duration, holder Rival, clock core.Clock, log *zap.Logger, opts ...Option) *Lease {
+func New(store core.Platform, kind, name, self string, pause time.Duration, holder CurrentHolder, clock core.Clock, log *zap.Logger, opts ...Option) *Lease {
 	l := &Lease{store: store, kind: kind, name: name, self: self, handoverPause: pause, holder: holder, clock: clock, bootTime: BootTime, log: log, isCandidate: func() bool { return true }}
 	for _, o := range opts {
 		o(l)
@@ -133,10 +133,10 @@
 	}
 	next.Holder = ""
 	if err := l.write(ctx, next); err != nil {
-		l.log.Warn(logs.LeaseKept, logs.Err(err))
+		l.log.Warn(logs.LeaseNotReleased, logs.Err(err))
 		return
 	}
-	l.log.Info(logs.LeaseGivenBack, zap.Uint64("term", next.Term))
+	l.log.Info(logs.LeaseReleased, zap.Uint64("term", next.Term))
 }
 
 // Term returns the term in which this daemon may send orders now.
@@ -218,7 +218,7 @@
 	switch {
 	case held && due:
 		return l.renew(ctx)
-	case held || l.holder.Fresh() || mustWait:
+	case held || l.holder.RenewedRecently() || mustWait:
 		return nil
 	default:
 		return l.tryAcquire(ctx)
@@ -232,7 +232,7 @@
 	l.mu.Unlock()
 	next.Count++
 	err := l.write(ctx, next)
-	if errors.Is(err, core.ErrConflict) || errors.Is(err, core.ErrOvertaken) || errors.Is(err, core.ErrNotFound) {
+	if errors.Is(err, core.ErrConflict) || errors.Is(err, core.ErrOverwritten) || errors.Is(err, core.ErrNotFound) {
 		l.mu.Lock()
 		l.held = false
 		l.mu.Unlock()
@@ -281,7 +281,7 @@
 			return nil
 		}
 		core.Sleep(ctx, l.clock, rand.N(maxCreateDelay))
-		if l.holder.Fresh() {
+		if l.holder.RenewedRecently() {
 			return nil
 		}
 		return l.acquire(ctx, core.Object{}, record{}, 0)
@@ -308,7 +308,7 @@
 	case unchanged >= takeoverAfter:
 		return l.acquire(ctx, object, previous, l.firstOrderDelay(unchanged-validFor))
 	}
-	if idle, ok := l.holder.AskYield(ctx, previous.Term); ok {
+	if idle, ok := l.holder.RequestYield(ctx, previous.Term); ok {
 		return l.acquire(ctx, object, previous, l.firstOrderDelay(idle))
 	}
 	return nil
@@ -328,7 +328,7 @@
 	l.mu.Unlock()
 	next := record{Holder: l.self, Term: previous.Term + 1}
 	err := l.write(ctx, next)
-	if errors.Is(err, core.ErrConflict) || errors.Is(err, core.ErrExists) || errors.Is(err, core.ErrOvertaken) {
+	if errors.Is(err, core.ErrConflict) || errors.Is(err, core.ErrExists) || errors.Is(err, core.ErrOverwritten) {
 		return nil // another daemon was faster
 	}
 	if err != nil {
@@ -337,6 +337,6 @@
 	l.mu.Lock()
 	l.held, l.actFrom = true, l.bootTime()+wait
 	l.mu.Unlock()
-	l.log.Info(logs.LeaseTaken, zap.Uint64("term", next.Term), zap.String("before", previous.Holder), zap.Duration("wait", wait))
+	l.log.Info(logs.LeaseAcquired, zap.Uint64("term", next.Term), zap.String("before", previous.Holder), zap.Duration("wait", wait))
 	return nil
 }
--- a/coordination/lease/lease_test.go
+++ b/coordination/lease/lease_test.go
@@ -45,8 +45,8 @@
 
 func (c *cluster) elapsed() time.Duration { return time.Since(c.start) }
 
-// Fresh and AskYield implement Rival for a daemon by the state of the others.
-func (d *daemon) Fresh() bool {
+// RenewedRecently and AskYield implement Rival for a daemon by the state of the others.
+func (d *daemon) RenewedRecently() bool {
 	for _, o := range d.cluster.daemons {
 		if _, fresh := o.Claim(); o != d && fresh && !o.isolated.Load() && !d.isolated.Load() {
 			return true
@@ -55,7 +55,7 @@
 	return false
 }
 
-func (d *daemon) AskYield(_ context.Context, term uint64) (time.Duration, bool) {
+func (d *daemon) RequestYield(_ context.Context, term uint64) (time.Duration, bool) {
 	for _, o := range d.cluster.daemons {
 		if held, _ := o.Claim(); o != d && held == term && !o.isolated.Load() && !d.isolated.Load() {
 			return o.Yield(term)
@@ -132,8 +132,8 @@
 		fault func(d *daemon)
 		gap   time.Duration // longest time without a holder
 	}{
-		{"disconnected from the store", func(d *daemon) { d.client.Cut(true) }, 6 * time.Second},
-		{"disconnected from all", func(d *daemon) { d.client.Cut(true); d.isolated.Store(true) }, 10 * time.Second},
+		{"disconnected from the store", func(d *daemon) { d.client.SetDisconnected(true) }, 6 * time.Second},
+		{"disconnected from all", func(d *daemon) { d.client.SetDisconnected(true); d.isolated.Store(true) }, 10 * time.Second},
 		{"stops", func(d *daemon) { d.Stop(context.Background()) }, 4 * time.Second},
 		{"answers lost", func(d *daemon) { d.client.LoseAnswers(3) }, 6 * time.Second},
 	}
@@ -153,7 +153,7 @@
 					}
 					assert.Assert(t, c.elapsed()-faultAt < one.gap, "no daemon holds the lease")
 				}
-				old.client.Cut(false)
+				old.client.SetDisconnected(false)
 				old.isolated.Store(false)
 				c.checkOrders(10 * time.Second)
 				assert.Assert(t, c.holder() != nil)
@@ -179,11 +179,11 @@
 		time.Sleep(2 * time.Second)
 		_, ok := d.Term()
 		assert.Assert(t, ok)
-		d.client.Cut(true)
+		d.client.SetDisconnected(true)
 		suspended.Store(int64(validFor))
 		_, ok = d.Term()
 		assert.Assert(t, !ok, "the lease is still valid after a suspend")
-		d.client.Cut(false)
+		d.client.SetDisconnected(false)
 		d.Stop(context.Background())
 	})
 }
--- a/coordination/limit/limit_test.go
+++ b/coordination/limit/limit_test.go
@@ -59,7 +59,7 @@
 func TestNoLimitByDefault(t *testing.T) {
 	l := New(clockwork.NewFakeClock(), func() int { return 4 })
 	for range 5000 {
-		_, err := l.Enter(tree.NewOverlay(nil).Effective(tree.Coord{Service: "s"}))
+		_, err := l.Enter(tree.NewOverlay(nil).Effective(tree.Selector{Service: "s"}))
 		assert.NilError(t, err)
 	}
 }
--- a/coordination/load/load.go
+++ b/coordination/load/load.go
@@ -33,8 +33,8 @@
 	peerDownTTL = time.Second
 )
 
-// Others is the name in Heard for all other daemons of this data centre in a large fleet.
-const Others = ""
+// DataCentrePeers is the name in Heard for all other daemons of this data centre in a large fleet.
+const DataCentrePeers = ""
 
 // Table holds the load of all runners.
 type Table struct {
@@ -113,22 +113,22 @@
 	}
 }
 
-// Said records the load that a runner reported with an answer.
-func (t *Table) Said(runner string, l core.Load) {
+// SetReportedLoad records the load that a runner reported with an answer.
+func (t *Table) SetReportedLoad(runner string, l core.Load) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.reported[runner] = reportedLoad{at: t.clock.Now(), load: l, local: t.localRequests(runner)}
 }
 
-// Note records that a runner has sent something.
-func (t *Table) Note(runner string) {
+// RecordActivity records that a runner has sent something.
+func (t *Table) RecordActivity(runner string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.lastReceived[runner] = t.clock.Now()
 }
 
-// LastHeard returns when a runner last sent anything to this daemon.
-func (t *Table) LastHeard(runner string) time.Time {
+// LastActivity returns when a runner last sent anything to this daemon.
+func (t *Table) LastActivity(runner string) time.Time {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.lastReceived[runner]
@@ -151,9 +151,9 @@
 	delete(t.peerDown, core.CodeOf(runner))
 }
 
-// Refused records that a runner refused a connection, so its process has exited. It returns
+// ConnectionRefused records that a runner refused a connection, so its process has exited. It returns
 // false if the runner already counted as down.
-func (t *Table) Refused(runner string) bool {
+func (t *Table) ConnectionRefused(runner string) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	now := t.clock.Now()
@@ -201,8 +201,8 @@
 	return ok && now.Sub(at) < peerDownTTL
 }
 
-// OwnDown returns the runners that recently refused connections of this daemon.
-func (t *Table) OwnDown() []core.Code {
+// LocalDown returns the runners that recently refused connections of this daemon.
+func (t *Table) LocalDown() []core.Code {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	now := t.clock.Now()
@@ -216,8 +216,8 @@
 	return out
 }
 
-// HeardDown records the runners that another daemon reports as down.
-func (t *Table) HeardDown(runners []core.Code) {
+// SetPeerDown records the runners that another daemon reports as down.
+func (t *Table) SetPeerDown(runners []core.Code) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	now := t.clock.Now()
@@ -227,16 +227,16 @@
 	maps.DeleteFunc(t.peerDown, func(_ core.Code, at time.Time) bool { return now.Sub(at) >= peerDownTTL })
 }
 
-// Failed adds to a runner's penalty for a failed attempt.
-func (t *Table) Failed(runner string) {
+// RecordFailure adds to a runner's penalty for a failed attempt.
+func (t *Table) RecordFailure(runner string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	now := t.clock.Now()
 	t.failures[runner] = failure{at: now, value: min(maxPenalty, t.failures[runner].remaining(now)+penaltyStep)}
 }
 
-// Worked halves a runner's penalty, and drops a small one.
-func (t *Table) Worked(runner string) {
+// RecordSuccess halves a runner's penalty, and drops a small one.
+func (t *Table) RecordSuccess(runner string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	f, ok := t.failures[runner]
@@ -259,8 +259,8 @@
 	return f.value / float64(int(1)<<halvings)
 }
 
-// Own returns this daemon's requests in progress by runner.
-func (t *Table) Own() map[core.Code]int {
+// LocalRequests returns this daemon's requests in progress by runner.
+func (t *Table) LocalRequests() map[core.Code]int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	out := make(map[core.Code]int, len(t.local))
@@ -270,9 +270,9 @@
 	return out
 }
 
-// Heard records another daemon's counts, or under the name Others the sum of those reported by
+// SetPeerRequests records another daemon's counts, or under the name Others the sum of those reported by
 // the daemons of the data centre.
-func (t *Table) Heard(daemon string, counts map[core.Code]int) {
+func (t *Table) SetPeerRequests(daemon string, counts map[core.Code]int) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.peers[daemon] = peerCounts{at: t.clock.Now(), counts: maps.Clone(counts)}
--- a/coordination/load/load_test.go
+++ b/coordination/load/load_test.go
@@ -21,9 +21,9 @@
 	}
 	ends := []func(){l.Begin("r"), l.Begin("r")}
 	assert.Equal(t, requests(), 2)
-	l.Heard("d2", map[core.Code]int{core.CodeOf("r"): 3, core.CodeOf("other"): 9})
+	l.SetPeerRequests("d2", map[core.Code]int{core.CodeOf("r"): 3, core.CodeOf("other"): 9})
 	assert.Equal(t, requests(), 5)
-	l.Said("r", core.Load{Running: 6, Waiting: 4, Slots: 8})
+	l.SetReportedLoad("r", core.Load{Running: 6, Waiting: 4, Slots: 8})
 	assert.Equal(t, requests(), 10)
 	ends = append(ends, l.Begin("r"))
 	assert.Equal(t, requests(), 11)
@@ -35,7 +35,7 @@
 		ends[i]()
 	}
 	assert.Equal(t, requests(), 0)
-	assert.Equal(t, len(l.Own()), 0)
+	assert.Equal(t, len(l.LocalRequests()), 0)
 }
 
 // A runner that fails gets few requests for a while, which probe it.
@@ -46,18 +46,18 @@
 		return l.View("r").Penalty
 	}
 	for range 20 {
-		l.Failed("r")
+		l.RecordFailure("r")
 	}
 	assert.Equal(t, penalty(), float64(maxPenalty))
 	clock.Advance(penaltyHalf)
 	assert.Equal(t, penalty(), float64(maxPenalty)/2)
-	l.Worked("r")
+	l.RecordSuccess("r")
 	assert.Equal(t, penalty(), float64(maxPenalty)/4)
 	for range 10 {
-		l.Worked("r")
+		l.RecordSuccess("r")
 	}
 	assert.Equal(t, penalty(), 0.0)
-	l.Failed("r")
+	l.RecordFailure("r")
 	l.Forget("r")
 	assert.Equal(t, penalty(), 0.0)
 	clock.Advance(time.Hour)
@@ -72,9 +72,9 @@
 		return l.View("r").Requests
 	}
 	former := l.Begin("r")
-	l.Heard("d2", map[core.Code]int{core.CodeOf("r"): 3})
-	l.Said("r", core.Load{Running: 9, Slots: 8})
-	l.Failed("r")
+	l.SetPeerRequests("d2", map[core.Code]int{core.CodeOf("r"): 3})
+	l.SetReportedLoad("r", core.Load{Running: 9, Slots: 8})
+	l.RecordFailure("r")
 	l.Restarted("r")
 	v := l.View("r")
 	n, penalty := v.Requests, v.Penalty
@@ -86,7 +86,7 @@
 	next()
 	next()
 	assert.Equal(t, requests(), 0)
-	assert.Equal(t, len(l.Own()), 0)
+	assert.Equal(t, len(l.LocalRequests()), 0)
 }
 
 // Guards against a crashed runner whose models are not loaded elsewhere and that still gets
@@ -96,24 +96,24 @@
 func TestRunnersThatRefuseConnections(t *testing.T) {
 	clock := clockwork.NewFakeClock()
 	a, b := New(clock), New(clock)
-	assert.Assert(t, a.Refused("r"))
-	assert.Assert(t, !a.Refused("r"), "it already counts as down")
-	assert.DeepEqual(t, a.OwnDown(), []core.Code{core.CodeOf("r")})
-	b.HeardDown(a.OwnDown())
+	assert.Assert(t, a.ConnectionRefused("r"))
+	assert.Assert(t, !a.ConnectionRefused("r"), "it already counts as down")
+	assert.DeepEqual(t, a.LocalDown(), []core.Code{core.CodeOf("r")})
+	b.SetPeerDown(a.LocalDown())
 	assert.Assert(t, a.Down("r") && b.Down("r") && !a.Down("other"))
-	assert.Equal(t, len(b.OwnDown()), 0, "a report is not passed on")
+	assert.Equal(t, len(b.LocalDown()), 0, "a report is not passed on")
 	clock.Advance(peerDownTTL)
 	assert.Assert(t, a.Down("r") && !b.Down("r"), "a report expires unless repeated")
 	clock.Advance(downTTL)
-	assert.Assert(t, !a.Down("r") && len(a.OwnDown()) == 0)
+	assert.Assert(t, !a.Down("r") && len(a.LocalDown()) == 0)
 	assert.Assert(t, b.Probe("r") && !b.Probe("r"), "one request may probe it")
 	clock.Advance(probeInterval)
 	assert.Assert(t, b.Probe("r"))
 	for _, reset := range []func(*Table){
 		func(l *Table) { l.Answered("r") }, func(l *Table) { l.Restarted("r") }, func(l *Table) { l.Forget("r") },
 	} {
-		a.Refused("r")
-		a.HeardDown([]core.Code{core.CodeOf("r")})
+		a.ConnectionRefused("r")
+		a.SetPeerDown([]core.Code{core.CodeOf("r")})
 		a.Probe("r")
 		reset(a)
 		assert.Assert(t, !a.Down("r") && a.Probe("r"))
--- a/coordination/member/gossip.go
+++ b/coordination/member/gossip.go
@@ -88,9 +88,9 @@
 type SettingsState interface {
 	// Sum returns a checksum, which is equal for equal settings.
 	Sum() uint64
-	// Fresh returns the time since the settings were last confirmed to be those
+	// SinceConfirmed returns the time since the settings were last confirmed to be those
 	// of the platform. It is negative if they never were.
-	Fresh() time.Duration
+	SinceConfirmed() time.Duration
 	// ReceiveState handles the settings state of another member.
 	ReceiveState(from core.Member, sum uint64, fresh time.Duration)
 }
@@ -98,15 +98,15 @@
 type noSettings struct{}
 
 func (noSettings) Sum() uint64                                     { return 0 }
-func (noSettings) Fresh() time.Duration                            { return -1 }
+func (noSettings) SinceConfirmed() time.Duration                   { return -1 }
 func (noSettings) ReceiveState(core.Member, uint64, time.Duration) {}
 
-// WithDigest sets the settings state that each packet contains.
-func WithDigest(d SettingsState) Option { return func(g *Gossip) { g.settings = d } }
+// WithSettingsState sets the settings state that each packet contains.
+func WithSettingsState(d SettingsState) Option { return func(g *Gossip) { g.settings = d } }
 
-// WithCount sets a function that is called with the size of each packet sent or
+// WithByteCounter sets a function that is called with the size of each packet sent or
 // received.
-func WithCount(fn func(bytes int)) Option { return func(g *Gossip) { g.count = fn } }
+func WithByteCounter(fn func(bytes int)) Option { return func(g *Gossip) { g.count = fn } }
 
 // WithLogger sets the logger.
 func WithLogger(l *zap.Logger) Option { return func(g *Gossip) { g.log = l } }
@@ -295,7 +295,7 @@
 func (g *Gossip) send(to netip.AddrPort, p *peerv1.Packet) {
 	p.From = ToWire(g.table.Self())
 	p.Sum = g.settings.Sum()
-	p.Fresh = g.settings.Fresh().Milliseconds()
+	p.Fresh = g.settings.SinceConfirmed().Milliseconds()
 	for _, m := range g.table.Updates(updatesPerPacket) {
 		p.Updates = append(p.Updates, ToWire(m))
 	}
@@ -404,7 +404,7 @@
 		if addr == g.table.Self().Peer {
 			continue
 		}
-		received, err := g.sync(ctx, addr, g.table.Whole())
+		received, err := g.sync(ctx, addr, g.table.AllWithDead())
 		if err != nil {
 			continue
 		}
--- a/coordination/member/table.go
+++ b/coordination/member/table.go
@@ -184,8 +184,8 @@
 	return t.list(func(e *entry) bool { return e.State != core.MemberDead })
 }
 
-// Whole returns all entries, including dead members.
-func (t *Table) Whole() []core.Member {
+// AllWithDead returns all entries, including dead members.
+func (t *Table) AllWithDead() []core.Member {
 	t.mu.RLock()
 	defer t.mu.RUnlock()
 	return t.list(func(*entry) bool { return true })
@@ -295,7 +295,7 @@
 		}
 		c := candidate{xxhash.Sum64String(e.Name), e.Member}
 		t.candidates[""] = append(t.candidates[""], c)
-		t.candidates[e.Place] = append(t.candidates[e.Place], c)
+		t.candidates[e.DataCentre] = append(t.candidates[e.DataCentre], c)
 	}
 }
 
--- a/coordination/member/table_test.go
+++ b/coordination/member/table_test.go
@@ -19,7 +19,7 @@
 
 func testMember(name string, incarnation uint64, state core.MemberState) core.Member {
 	addr := netip.MustParseAddrPort("127.0.0.1:1")
-	return core.Member{Name: name, Place: "a", Peer: addr, Caller: addr, Incarnation: incarnation, State: state}
+	return core.Member{Name: name, DataCentre: "a", Peer: addr, Caller: addr, Incarnation: incarnation, State: state}
 }
 
 // Guards against a live daemon that is considered dead for ever, or a dead one that
--- a/coordination/member/wire.go
+++ b/coordination/member/wire.go
@@ -13,7 +13,7 @@
 func ToWire(m core.Member) *peerv1.Member {
 	return &peerv1.Member{
 		Name:        m.Name,
-		Place:       m.Place,
+		Place:       m.DataCentre,
 		Peer:        m.Peer.String(),
 		Caller:      m.Caller.String(),
 		Incarnation: m.Incarnation,
@@ -37,7 +37,7 @@
 	}
 	return core.Member{
 		Name:        w.Name,
-		Place:       w.Place,
+		DataCentre:  w.Place,
 		Peer:        peer,
 		Caller:      caller,
 		Incarnation: w.Incarnation,
--- a/coordination/owner/admit.go
+++ b/coordination/owner/admit.go
@@ -23,8 +23,8 @@
 
 // settingsCoord returns the coordinates under which the settings of an attempt on this
 // runner are looked up.
-func (r *runner) settingsCoord(a *Attempt) tree.Coord {
-	return tree.Coord{Service: a.Service, Model: a.Model, Place: r.spec.Place}
+func (r *runner) settingsCoord(a *Attempt) tree.Selector {
+	return tree.Selector{Service: a.Service, Model: a.Model, DataCentre: r.spec.DataCentre}
 }
 
 // admit refuses an attempt that may not be served here or cannot be served in time. The
@@ -56,15 +56,15 @@
 		a.tookToken = true
 		return nil
 	}
-	r.mgr.log.Info(logs.RunnerAtLimit, zap.String("runner", r.id), zap.String("request", a.Request.Request), zap.Float64("limit", limit.Rate),
-		zap.Duration("heard", limit.Age), zap.Float64("left", admission.Left), zap.Float64("asked", admission.Asked), zap.Duration("retry", admission.Retry))
+	r.mgr.log.Info(logs.RunnerAtLimit, zap.String("runner", r.id), zap.String("request", a.Request.RequestID), zap.Float64("limit", limit.Rate),
+		zap.Duration("heard", limit.Age), zap.Float64("left", admission.Available), zap.Float64("asked", admission.Demand), zap.Duration("retry", admission.Retry))
 	return core.NotRun(http.StatusServiceUnavailable, core.CodeLimited, "the endpoint's rate limit is reached", admission.Retry)
 }
 
 // refuse ends an attempt that was admitted but is not sent, and gives its token back.
 func (r *runner) refuse(a *Attempt, err *core.RequestError) {
 	if a.tookToken {
-		r.mgr.limits.Give(r.id)
+		r.mgr.limits.Refund(r.id)
 	}
 	a.refuse(err)
 }
@@ -81,7 +81,7 @@
 	if !ok {
 		return core.NotRun(http.StatusForbidden, "place_not_allowed", "settings do not allow the runner's data centre", 0)
 	}
-	if age := r.mgr.settingsAge(); eff.Fresh > 0 && (age < 0 || age > eff.Fresh) {
+	if age := r.mgr.settingsAge(); eff.MaxUnconfirmed > 0 && (age < 0 || age > eff.MaxUnconfirmed) {
 		return core.NotRun(http.StatusServiceUnavailable, "settings_not_fresh", "settings have not been confirmed recently", minRetryAfter)
 	}
 	if r.isLeaving() {
--- a/coordination/owner/attempt.go
+++ b/coordination/owner/attempt.go
@@ -32,20 +32,20 @@
 
 // Request is one attempt as an entry dispatches it to the owner.
 type Request struct {
-	Request  string
-	Attempt  string
-	Service  string
-	Model    string
-	Runner   string
-	Class    core.Class
-	Deadline time.Time
-	Method   string
-	Path     string
-	Header   http.Header
-	Body     []byte
-	Repeat   bool        // the request may be sent again: it is idempotent
-	Retry    bool        // this is a further attempt of the request
-	Digest   core.Digest // hash of the request, for the quarantine
+	RequestID  string
+	AttemptID  string
+	Service    string
+	Model      string
+	Runner     string
+	Class      core.Class
+	Deadline   time.Time
+	Method     string
+	Path       string
+	Header     http.Header
+	Body       []byte
+	Repeatable bool        // the request may be sent again: it is idempotent
+	Retry      bool        // this is a further attempt of the request
+	Digest     core.Digest // hash of the request, for the quarantine
 }
 
 // Attempt is an attempt that is in progress or has ended recently.
@@ -84,7 +84,7 @@
 	defer a.cancel()
 	ctx := trace.ContextWithRemoteSpanContext(a.ctx, a.span)
 	ctx, span := otel.Tracer("primroseward").Start(ctx, "endpoint", trace.WithAttributes(
-		attribute.String("runner", a.Runner), attribute.String("attempt", a.Attempt)))
+		attribute.String("runner", a.Runner), attribute.String("attempt", a.AttemptID)))
 	defer span.End()
 	ans, err := a.endpoint.Do(ctx, a.call())
 	if err != nil {
@@ -108,25 +108,25 @@
 	switch {
 	case err == nil:
 		if a.status < http.StatusInternalServerError {
-			guard.Worked(a.Digest)
+			guard.Served(a.Digest)
 		}
 	case err.Code == core.CodeEndpointBroken:
 		// Begun: the endpoint is never sent more requests than it has slots, so it had
 		// started on this one.
-		guard.Broke(core.Broken{Digest: a.Digest, Runner: a.instance.runner(a.Runner), Route: a.Service, Service: a.Service, Begun: true})
+		guard.ConnectionLost(core.LostRequest{Digest: a.Digest, Runner: a.instance.runner(a.Runner), Route: a.Service, Service: a.Service, MayHaveRun: true})
 	}
 }
 
 func (a *Attempt) call() core.Call {
 	return core.Call{
-		Attempt: a.Attempt,
-		Method:  a.Method,
-		Path:    a.Path,
-		Header:  a.Header,
-		Body:    a.Body,
-		Repeat:  a.Repeat,
-		Class:   a.Class,
-		Stall:   a.stall,
+		Attempt:      a.AttemptID,
+		Method:       a.Method,
+		Path:         a.Path,
+		Header:       a.Header,
+		Body:         a.Body,
+		Repeatable:   a.Repeatable,
+		Class:        a.Class,
+		StallTimeout: a.stall,
 	}
 }
 
@@ -221,7 +221,7 @@
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), cancelTimeout)
 	defer cancel()
-	_ = a.endpoint.Cancel(ctx, a.Attempt)
+	_ = a.endpoint.Cancel(ctx, a.AttemptID)
 }
 
 // attempts is an index of attempts by ID. An ID stays known for a while after the attempt
@@ -237,10 +237,10 @@
 func (m *attempts) register(a *Attempt) (*Attempt, bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if existing, ok := m.byID[a.Attempt]; ok {
+	if existing, ok := m.byID[a.AttemptID]; ok {
 		return existing, false
 	}
-	m.byID[a.Attempt] = a
+	m.byID[a.AttemptID] = a
 	return a, true
 }
 
@@ -279,7 +279,7 @@
 // cancelIfOrphaned cancels a repeatable attempt that no entry has read for longer than
 // after.
 func (a *Attempt) cancelIfOrphaned(now time.Time, after time.Duration) {
-	if a.Buffer.Readers() > 0 || !a.Repeat {
+	if a.Buffer.Readers() > 0 || !a.Repeatable {
 		a.lastReadAt = now
 		return
 	}
--- a/coordination/owner/attempt_test.go
+++ b/coordination/owner/attempt_test.go
@@ -12,7 +12,7 @@
 
 func newRunningAttempt(repeat bool) (*Attempt, context.Context) {
 	ctx, cancel := context.WithCancel(context.Background())
-	return &Attempt{Request: Request{Attempt: "a", Repeat: repeat}, Buffer: answer.NewBuffer(), ctx: ctx, cancel: cancel, startedAt: time.Unix(1000, 0)}, ctx
+	return &Attempt{Request: Request{AttemptID: "a", Repeatable: repeat}, Buffer: answer.NewBuffer(), ctx: ctx, cancel: cancel, startedAt: time.Unix(1000, 0)}, ctx
 }
 
 // Guards against a sweep that overwrites an attempt's start time. When the sweep kept its
@@ -59,7 +59,7 @@
 	m.sweep(now, 30*time.Second, 2*time.Minute, time.Second)
 	m.sweep(now.Add(time.Minute), 30*time.Second, 2*time.Minute, time.Second)
 	assert.Equal(t, a.Buffer.Size(), int64(0))
-	joined, registered := m.register(&Attempt{Request: Request{Attempt: "a"}})
+	joined, registered := m.register(&Attempt{Request: Request{AttemptID: "a"}})
 	assert.Assert(t, !registered && joined == a, "a second dispatch joins the first attempt")
 	m.sweep(now.Add(3*time.Minute), 30*time.Second, 2*time.Minute, time.Second)
 	_, found := m.get("a")
--- a/coordination/owner/life.go
+++ b/coordination/owner/life.go
@@ -16,7 +16,7 @@
 }
 
 // runner returns the identity of this instance of the endpoint with the given ID.
-func (i instance) runner(id string) core.Runner { return core.Runner{ID: id, Born: i.startedAt} }
+func (i instance) runner(id string) core.Runner { return core.Runner{ID: id, StartedAt: i.startedAt} }
 
 // instanceTracker tracks the current instance of an endpoint.
 type instanceTracker struct {
@@ -58,7 +58,7 @@
 	case errors.Is(err, core.ErrNoListener):
 		r.instances.exited()
 	case err == nil:
-		r.instances.booted(obs.Boot)
+		r.instances.booted(obs.Instance)
 	}
 	return obs, err
 }
@@ -71,11 +71,11 @@
 	if r == nil {
 		return nil, core.ErrNotFound
 	}
-	if current := r.instances.current(); !current.startedAt.Equal(of.Born) {
+	if current := r.instances.current(); !current.startedAt.Equal(of.StartedAt) {
 		return nil, core.ErrReplaced
 	}
 	if _, err := r.observe(ctx); err != nil && !errors.Is(err, core.ErrNotFound) {
 		return nil, err
 	}
-	return &core.Report{Born: r.instances.current().startedAt}, nil
+	return &core.Report{StartedAt: r.instances.current().startedAt}, nil
 }
--- a/coordination/owner/life_test.go
+++ b/coordination/owner/life_test.go
@@ -20,7 +20,7 @@
 }
 
 func (e *observableEndpoint) Observe(context.Context) (core.Observation, error) {
-	return core.Observation{Boot: e.bootID}, e.err
+	return core.Observation{Instance: e.bootID}, e.err
 }
 
 // Guards against an endpoint's exit that goes unnoticed, or that is attributed to requests
@@ -49,9 +49,9 @@
 		*e = tt.next
 		report, err := m.Report(context.Background(), &before)
 		assert.Assert(t, errors.Is(err, tt.wantErr), "%s: %v", tt.name, err)
-		assert.Equal(t, r.instances.current().startedAt.Equal(before.Born), tt.sameInstance, tt.name)
+		assert.Equal(t, r.instances.current().startedAt.Equal(before.StartedAt), tt.sameInstance, tt.name)
 		if err == nil {
-			assert.Equal(t, report.Born.Equal(before.Born), tt.sameInstance, tt.name)
+			assert.Equal(t, report.StartedAt.Equal(before.StartedAt), tt.sameInstance, tt.name)
 		}
 		if !tt.sameInstance {
 			_, err = m.Report(context.Background(), &before)
--- a/coordination/owner/manager.go
+++ b/coordination/owner/manager.go
@@ -30,8 +30,8 @@
 	orphanTimeout           = 15 * time.Second // for an attempt without a reader
 )
 
-// AttemptLife is how long an attempt's ID stays known after its end.
-const AttemptLife = 2 * time.Minute
+// AttemptRetention is how long an attempt's ID stays known after its end.
+const AttemptRetention = 2 * time.Minute
 
 // Connect creates the client of an endpoint.
 type Connect func(id string, spec tree.Endpoint) core.Endpoint
@@ -81,9 +81,9 @@
 // WithScope sets the scope of the metrics.
 func WithScope(s tally.Scope) Option { return func(m *Manager) { m.scope = s } }
 
-// WithFresh sets the function that returns how long ago the settings were last confirmed;
+// WithSettingsAge sets the function that returns how long ago the settings were last confirmed;
 // a negative age means never.
-func WithFresh(fn func() time.Duration) Option { return func(m *Manager) { m.settingsAge = fn } }
+func WithSettingsAge(fn func() time.Duration) Option { return func(m *Manager) { m.settingsAge = fn } }
 
 // WithGuard sets the quarantine guard, which receives the outcome of attempts and loads at
 // their endpoints.
@@ -117,7 +117,7 @@
 		o(m)
 	}
 	m.limits = allowance.NewLimits(clock, m.log, allowance.WithLimitsScope(m.scope))
-	m.limits.Heard(1, 1, nil) // only the owner sends to a runner, so it has the whole limit
+	m.limits.UpdatePeers(1, 1, nil) // only the owner sends to a runner, so it has the whole limit
 	m.floors = floors{platform: platform, log: m.log, ready: m.readyRunners}
 	m.weights = weightStore{platform: platform, clock: clock, log: m.log}
 	return m
@@ -208,7 +208,7 @@
 }
 
 func (m *Manager) owns(self, id string, spec tree.Endpoint) bool {
-	owner, ok := Of(m.members, id, spec.Place)
+	owner, ok := Of(m.members, id, spec.DataCentre)
 	return ok && owner.Name == self
 }
 
@@ -239,7 +239,7 @@
 		case <-ctx.Done():
 			return
 		case <-m.clock.After(sweepInterval):
-			m.attempts.sweep(m.clock.Now(), answerRetention, AttemptLife, orphanTimeout)
+			m.attempts.sweep(m.clock.Now(), answerRetention, AttemptRetention, orphanTimeout)
 		}
 	}
 }
@@ -299,7 +299,7 @@
 // is certain never to run.
 func (m *Manager) Cancel(id string) bool {
 	ctx, cancel := context.WithCancel(context.Background())
-	placeholder := &Attempt{Request: Request{Attempt: id}, Buffer: answer.NewBuffer(), clock: m.clock, ctx: ctx, cancel: cancel}
+	placeholder := &Attempt{Request: Request{AttemptID: id}, Buffer: answer.NewBuffer(), clock: m.clock, ctx: ctx, cancel: cancel}
 	a, registered := m.attempts.register(placeholder)
 	if registered {
 		a.refuse(core.NotRun(http.StatusServiceUnavailable, "cancelled", "the attempt was cancelled before it arrived", 0))
@@ -335,13 +335,13 @@
 
 // View is the state of one runner that the planner needs.
 type View struct {
-	Runner   string
-	Record   ledger.Record
-	Report   directory.Report
-	Capacity int64
-	Missing  bool          // the endpoint does not answer
-	Known    bool          // its memory record has been read
-	Cost     time.Duration // mean time that a request holds a slot
+	Runner      string
+	Record      ledger.Record
+	Report      directory.Report
+	Capacity    int64
+	Unreachable bool          // the endpoint does not answer
+	RecordRead  bool          // its memory record has been read
+	Cost        time.Duration // mean time that a request holds a slot
 }
 
 // Views returns the views of all runners owned by this daemon.
@@ -349,10 +349,10 @@
 	var out []View
 	for _, r := range m.ownedRunners() {
 		r.mu.Lock()
-		v := View{Runner: r.id, Report: r.report, Missing: r.unreachable, Cost: r.meanCost}
+		v := View{Runner: r.id, Report: r.report, Unreachable: r.unreachable, Cost: r.meanCost}
 		r.mu.Unlock()
 		if r.ledger != nil {
-			v.Record, v.Known = r.ledger.snapshot()
+			v.Record, v.RecordRead = r.ledger.snapshot()
 			v.Capacity, _ = r.ledger.capacity()
 		}
 		out = append(out, v)
@@ -366,7 +366,7 @@
 	t := m.replica.Tree()
 	var out []string
 	for _, r := range m.find(ctx, directory.ModelKey(model)) {
-		coord := tree.Coord{Service: t.ServiceOf(model), Model: model, Place: r.Place}
+		coord := tree.Selector{Service: t.ServiceOf(model), Model: model, DataCentre: r.DataCentre}
 		if _, ok := t.Allowed(coord); ok && !r.Leaving {
 			out = append(out, r.Runner)
 		}
--- a/coordination/owner/orders.go
+++ b/coordination/owner/orders.go
@@ -246,7 +246,7 @@
 			delete(k.loadInstances, orderKey(e.Model, e.Version))
 		}
 		if e.State == ledger.Loading && i >= 0 && k.record.Entries[i].State == ledger.Ready {
-			k.r.mgr.guard.Worked(k.loadDigest(e.Model))
+			k.r.mgr.guard.Served(k.loadDigest(e.Model))
 		}
 		if i < 0 && !k.record.HasReady(e.Model) {
 			k.r.mgr.floors.endEviction(ctx, e.Model, k.r.id)
@@ -332,7 +332,7 @@
 // loadHoldLeft returns for how long loads of a model are still held because endpoints
 // exited during them, or 0.
 func (k *ledgerKeeper) loadHoldLeft(model string) time.Duration {
-	return k.r.mgr.guard.Held(k.loadDigest(model))
+	return k.r.mgr.guard.HoldRemaining(k.loadDigest(model))
 }
 
 // reportExits reports to the guard the loads whose endpoint has exited since they were
@@ -351,7 +351,7 @@
 	key := orderKey(e.Model, e.Version)
 	sentTo := k.loadInstances[key]
 	delete(k.loadInstances, key)
-	k.r.mgr.guard.Broke(core.BrokenLoad(k.r.mgr.replica.Tree().ServiceOf(e.Model), e.Model, sentTo.runner(k.r.id)))
+	k.r.mgr.guard.ConnectionLost(core.LostLoad(k.r.mgr.replica.Tree().ServiceOf(e.Model), e.Model, sentTo.runner(k.r.id)))
 }
 
 // decide accepts or rejects a proposal. An accepted one is written to the record before
@@ -373,7 +373,7 @@
 	if !known || !listed {
 		return core.ErrNotFound
 	}
-	if _, ok := t.Allowed(tree.Coord{Service: t.ServiceOf(p.Model), Model: p.Model, Place: spec.Place}); !ok {
+	if _, ok := t.Allowed(tree.Selector{Service: t.ServiceOf(p.Model), Model: p.Model, DataCentre: spec.DataCentre}); !ok {
 		return eris.Wrap(core.ErrInvalid, "settings do not allow the model in this data centre")
 	}
 	if m.Base != "" && !k.record.HasReady(m.Base) {
--- a/coordination/owner/runner.go
+++ b/coordination/owner/runner.go
@@ -179,7 +179,7 @@
 		return
 	}
 	now := r.mgr.clock.Now()
-	item := &queue.Item{ID: a.Attempt, Class: a.Class, Retry: a.Retry, Deadline: now.Add(r.targetLatency(a)), Cost: r.cost, Value: a}
+	item := &queue.Item{ID: a.AttemptID, Class: a.Class, Retry: a.Retry, Deadline: now.Add(r.targetLatency(a)), Cost: r.cost, Value: a}
 	r.queue.Push(item, now)
 	// A request whose deadline passes in the queue is answered immediately.
 	a.stopDeadlineWatch = context.AfterFunc(a.ctx, func() { r.send(abandon{a}) })
@@ -210,7 +210,7 @@
 	a.stopDeadlineWatch()
 	t := r.mgr.replica.Tree()
 	a.endpoint = r.endpoint
-	a.stall = t.Effective(r.settingsCoord(a)).Stall
+	a.stall = t.Effective(r.settingsCoord(a)).StallTimeout
 	a.startedAt = r.mgr.clock.Now()
 	a.instance = r.instances.current()
 	if !a.tookToken {
@@ -218,9 +218,9 @@
 	}
 	a.onResume = func() { r.mgr.limits.Charge(r.id) }
 	a.onHeader = func(h http.Header) {
-		r.mgr.limits.Answered(r.id, core.ReplyInfo{Stamped: true, Limit: core.ReadRateLimit(h.Values(core.HeaderLimit))})
+		r.mgr.limits.ObserveAnswer(r.id, core.ReplyInfo{Stamped: true, Limit: core.ReadRateLimit(h.Values(core.HeaderLimit))})
 	}
-	r.running[a.Attempt] = a
+	r.running[a.AttemptID] = a
 	r.perModel[a.Model]++
 	r.wg.Add(1)
 	go a.run(r.mgr.guard, r.attemptEnded)
@@ -239,7 +239,7 @@
 }
 
 func (e freeSlot) apply(r *runner) {
-	delete(r.running, e.attempt.Attempt)
+	delete(r.running, e.attempt.AttemptID)
 	r.perModel[e.attempt.Model]--
 	if _, fail := e.attempt.Buffer.Done(); fail == nil {
 		r.cost += time.Duration(costWeight * float64(e.took-r.cost))
@@ -255,7 +255,7 @@
 type abandon struct{ attempt *Attempt }
 
 func (e abandon) apply(r *runner) {
-	if r.queue.Remove(e.attempt.Attempt) != nil {
+	if r.queue.Remove(e.attempt.AttemptID) != nil {
 		r.refuse(e.attempt, errNotSentInTime())
 	}
 }
@@ -352,15 +352,15 @@
 // and no service while the endpoint has not been observed, is unreachable or is released.
 func (r *runner) updateReport() {
 	rep := directory.Report{
-		Runner:  r.id,
-		Place:   r.spec.Place,
-		Owner:   r.mgr.members.Self().Name,
-		Slots:   r.spec.Slots,
-		Running: len(r.running),
-		Queued:  r.queue.Len(),
-		Wait:    r.expectedWait(core.ClassNormal),
-		Leaving: r.isLeaving(),
-		At:      r.mgr.clock.Now(),
+		Runner:     r.id,
+		DataCentre: r.spec.DataCentre,
+		Owner:      r.mgr.members.Self().Name,
+		Slots:      r.spec.Slots,
+		Running:    len(r.running),
+		Queued:     r.queue.Len(),
+		Wait:       r.expectedWait(core.ClassNormal),
+		Leaving:    r.isLeaving(),
+		At:         r.mgr.clock.Now(),
 	}
 	if r.spec.Kind == tree.KindPlain {
 		rep.Service = r.spec.Service
--- a/coordination/owner/shared.go
+++ b/coordination/owner/shared.go
@@ -29,7 +29,7 @@
 func updateObject[T any](ctx context.Context, p core.Platform, kind, name string, fn func(T) (T, bool, error)) error {
 	for retries := 0; ; retries++ {
 		err := updateObjectOnce(ctx, p, kind, name, fn)
-		if errors.Is(err, core.ErrOvertaken) {
+		if errors.Is(err, core.ErrOverwritten) {
 			return nil // the write took effect, and a later one was based on it
 		}
 		conflict := errors.Is(err, core.ErrConflict) || errors.Is(err, core.ErrExists)
--- a/coordination/peers/ask.go
+++ b/coordination/peers/ask.go
@@ -80,12 +80,12 @@
 	return data
 }
 
-// ErrNoAnswer is returned for a request to which a peer sent no reply in time.
-var ErrNoAnswer = errors.New("daemon did not answer")
+// ErrNoReply is returned for a request to which a peer sent no reply in time.
+var ErrNoReply = errors.New("daemon did not answer")
 
-// Ask sends a request to a peer and decodes the reply into out. The request is sent again
+// Request sends a request to a peer and decodes the reply into out. The request is sent again
 // after every resend interval without a reply, so handlers must accept duplicates.
-func (p *Peers) Ask(ctx context.Context, to Peer, kind string, request, out any, resend time.Duration) error {
+func (p *Peers) Request(ctx context.Context, to Peer, kind string, request, out any, resend time.Duration) error {
 	body, err := json.Marshal(request)
 	if err != nil {
 		return eris.Wrap(err, "question")
@@ -104,7 +104,7 @@
 		p.sendMessage(to, kind, datagram{Kind: kind, Number: number, Body: body})
 		select {
 		case <-ctx.Done():
-			return ErrNoAnswer
+			return ErrNoReply
 		case got := <-reply:
 			return json.Unmarshal(got, out)
 		case <-p.clock.After(resend):
@@ -112,10 +112,10 @@
 	}
 }
 
-// TellAll sends a message that expects no reply to all reachable peers; it may be lost.
+// Broadcast sends a message that expects no reply to all reachable peers; it may be lost.
 // In a large fleet the hubs forward it: if the holder of the lease of orders sent each
 // adapter to 294 daemons itself, it would have no time for its other work.
-func (p *Peers) TellAll(kind string, message any) {
+func (p *Peers) Broadcast(kind string, message any) {
 	body := p.marshal(message)
 	if body == nil {
 		return
@@ -127,7 +127,7 @@
 	}
 	p.mu.Lock()
 	now := p.clock.Now()
-	hubs, group := p.peersOf(p.roster.Hubs(now)), p.peersOf(p.roster.Group(now))
+	hubs, group := p.peersOf(p.roster.ReachableHubs(now)), p.peersOf(p.roster.GroupMembers(now))
 	p.mu.Unlock()
 	p.sendToAll(group, kind, d)
 	d.Forward = true
@@ -138,14 +138,14 @@
 func (p *Peers) forwardToGroup(d datagram) {
 	d.Forward = false
 	p.mu.Lock()
-	group := p.peersOf(p.roster.Group(p.clock.Now()))
+	group := p.peersOf(p.roster.GroupMembers(p.clock.Now()))
 	p.mu.Unlock()
 	group = slices.DeleteFunc(group, func(peer Peer) bool { return peer.Name == d.From })
 	p.sendToAll(group, d.Kind, d)
 }
 
-// Tell sends a message that expects no reply; it may be lost.
-func (p *Peers) Tell(to Peer, kind string, message any) {
+// Send sends a message that expects no reply; it may be lost.
+func (p *Peers) Send(to Peer, kind string, message any) {
 	if body := p.marshal(message); body != nil {
 		p.sendMessage(to, kind, datagram{Kind: kind, Body: body})
 	}
--- a/coordination/peers/beat.go
+++ b/coordination/peers/beat.go
@@ -61,7 +61,7 @@
 		if p.checkReachable(now, name, k) {
 			continue
 		}
-		if remote || k.Place == p.self.Place {
+		if remote || k.DataCentre == p.self.DataCentre {
 			out = append(out, k.Peer)
 		}
 	}
@@ -71,7 +71,7 @@
 // logReachable logs that a peer that was unreachable is reachable again.
 func (p *Peers) logReachable(k *knownPeer) {
 	if k.silent && k.reached {
-		p.log.Info(logs.DaemonHeard, zap.String("other", k.Name))
+		p.log.Info(logs.DaemonReachable, zap.String("other", k.Name))
 	}
 }
 
@@ -80,18 +80,18 @@
 func (p *Peers) checkReachable(now time.Time, name string, k *knownPeer) (forgotten bool) {
 	if now.Sub(k.lastSeen) > forgetAfter {
 		delete(p.known, name)
-		p.roster.Forget(name)
+		p.roster.RemoveDaemon(name)
 		return true
 	}
 	if !k.alive(now) && !k.silent {
 		k.silent = true
-		p.log.Info(logs.DaemonSilent, zap.String("other", name), zap.Uint64("term", k.Term), zap.Duration("for", now.Sub(k.lastSeen)))
+		p.log.Info(logs.DaemonUnreachable, zap.String("other", name), zap.Uint64("term", k.Term), zap.Duration("for", now.Sub(k.lastSeen)))
 	}
 	return false
 }
 
 func (p *Peers) send(to Peer, kind string, data []byte) {
-	p.onSend(kind, to.Place == p.self.Place, len(data)) // Place never changes, so no lock is needed
+	p.onSend(kind, to.DataCentre == p.self.DataCentre, len(data)) // Place never changes, so no lock is needed
 	p.write(to.Peer, data)
 }
 
@@ -174,7 +174,7 @@
 		return false
 	}
 	if !ok {
-		p.log.Info(logs.DaemonFound, zap.String("other", from.Name), zap.Stringer("caller", from.Caller))
+		p.log.Info(logs.DaemonDiscovered, zap.String("other", from.Name), zap.Stringer("caller", from.Caller))
 		k = &knownPeer{}
 		p.known[from.Name] = k
 	}
@@ -183,6 +183,6 @@
 	}
 	p.logReachable(k)
 	k.Peer, k.lastSeen, k.silent, k.reached, k.usage = from, now, false, true, b.Usage
-	p.roster.Know(now, from.daemon())
+	p.roster.AddDaemon(now, from.daemon())
 	return true
 }
--- a/coordination/peers/find.go
+++ b/coordination/peers/find.go
@@ -50,7 +50,7 @@
 		}
 		now := p.clock.Now()
 		p.known[peer.Name] = &knownPeer{Peer: peer, lastSeen: now.Add(-aliveTimeout), silent: true}
-		p.roster.Know(now, peer.daemon())
+		p.roster.AddDaemon(now, peer.daemon())
 	}
 	p.discovered = true
 	p.mu.Unlock()
--- a/coordination/peers/fleet.go
+++ b/coordination/peers/fleet.go
@@ -41,30 +41,30 @@
 	Source string // name of a daemon that has the change
 }
 
-// News is the summary that a hub sends of its group.
-type News struct {
-	Place     string
-	Changes   []Change
-	Settings  uint64        // version of the last change of the settings that the group has received
-	Confirmed time.Duration // since the settings were confirmed to be the store's newest; below 0: never
-	Down      []core.Code   // runners that have refused connections
+// Summary is the summary that a hub sends of its group.
+type Summary struct {
+	DataCentre      string
+	Changes         []Change
+	Settings        uint64        // version of the last change of the settings that the group has received
+	Confirmed       time.Duration // since the settings were confirmed to be the store's newest; below 0: never
+	RefusingRunners []core.Code   // runners that have refused connections
 }
 
 // daemon returns the peer's fixed properties as package roster keeps them.
 func (peer Peer) daemon() roster.Daemon {
 	tag := uint8(xxhash.Sum64String(peer.Caller.String() + " " + peer.Peer.String()))
-	return roster.Daemon{Name: peer.Name, Place: peer.Place, Boot: peer.Boot, Tag: tag, Cores: peer.Cores}
+	return roster.Daemon{Name: peer.Name, DataCentre: peer.DataCentre, Incarnation: peer.Boot, AddressTag: tag, Cores: peer.Cores}
 }
 
 // report returns what this daemon reports to its hubs. The caller must not hold the lock.
-func (p *Peers) report() roster.Word {
+func (p *Peers) report() roster.Report {
 	state, loads, usage := p.state(), p.ownLoads(), p.ownUsage()
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.self.State = state
-	return roster.Word{
-		Status: roster.Status{Ready: state.Ready, Failing: state.Failing, Leaving: p.self.Leaving, Fresh: state.Fresh, Term: state.Term, Confirmed: state.Confirmed},
-		Knows:  state.Knows, Down: state.Down, Loads: loads, Usage: usage,
+	return roster.Report{
+		Status:      roster.Status{Ready: state.Ready, Failing: state.Failing, Leaving: p.self.Leaving, LeaseFresh: state.LeaseRenewed, Term: state.Term, Confirmed: state.Confirmed},
+		LastChanges: state.LastChanges, RefusingRunners: state.RefusingRunners, Loads: loads, Usage: usage,
 	}
 }
 
@@ -77,11 +77,11 @@
 	now := p.clock.Now()
 	var messages []roster.Message
 	if urgent {
-		messages = p.roster.Nudge(now, report)
+		messages = p.roster.ReportNow(now, report)
 	} else {
 		messages = p.roster.Tick(now, report)
 	}
-	loads, peers := p.roster.Others(), p.recipients(messages)
+	loads, peers := p.roster.OtherLoads(), p.recipients(messages)
 	p.logHubRole(now)
 	p.refreshStates(now)
 	for name, k := range p.known {
@@ -95,7 +95,7 @@
 // logHubRole logs when this daemon starts or stops acting as a hub. The caller holds the
 // lock.
 func (p *Peers) logHubRole(now time.Time) {
-	acts, reports := p.roster.Acts(now)
+	acts, reports := p.roster.HubStatus(now)
 	if acts == p.actsAsHub {
 		return
 	}
@@ -190,7 +190,7 @@
 	}
 	p.logReachable(k)
 	k.listed, k.lastSeen, k.silent, k.reached, k.Leaving = true, now, false, true, s.Leaving
-	k.State = State{Ready: s.Ready, Failing: s.Failing, Term: s.Term, Fresh: s.Fresh, Knows: core.Changes{Settings: s.Settings}, Confirmed: s.Confirmed}
+	k.State = State{Ready: s.Ready, Failing: s.Failing, Term: s.Term, LeaseRenewed: s.LeaseFresh, LastChanges: core.Changes{Settings: s.Settings}, Confirmed: s.Confirmed}
 }
 
 // receiveRoster handles a datagram of package roster: a hub's summary, or a report to this
@@ -198,12 +198,12 @@
 func (p *Peers) receiveRoster(from netip.AddrPort, data []byte) {
 	p.mu.Lock()
 	now := p.clock.Now()
-	messages, received, err := p.roster.Take(now, data)
+	messages, received, err := p.roster.Receive(now, data)
 	peers := p.recipients(messages)
 	var loads map[core.Code]int
 	if len(received) > 0 {
 		p.refreshStates(now)
-		loads = p.roster.Others()
+		loads = p.roster.OtherLoads()
 	}
 	if p.roster.HasUnknown(now) {
 		select {
@@ -232,17 +232,17 @@
 
 // summaries converts summaries of package roster and resolves the codes of their sources
 // to names; a change whose source is not known is left out. The caller holds the lock.
-func (p *Peers) summaries(received []roster.News) []News {
-	out := make([]News, 0, len(received))
+func (p *Peers) summaries(received []roster.Summary) []Summary {
+	out := make([]Summary, 0, len(received))
 	for _, r := range received {
-		summary := News{Place: r.Place, Settings: r.Knows.Settings, Confirmed: r.Confirmed, Down: r.Down}
+		summary := Summary{DataCentre: r.DataCentre, Settings: r.LastChanges.Settings, Confirmed: r.Confirmed, RefusingRunners: r.RefusingRunners}
 		for _, c := range []struct {
 			change core.Changes
 			source core.Code
 		}{
-			{core.Changes{Config: r.Knows.Config}, r.Sources.Config},
-			{core.Changes{Runners: r.Knows.Runners}, r.Sources.Runners},
-			{core.Changes{Settings: r.Knows.Settings}, r.Sources.Settings},
+			{core.Changes{Config: r.LastChanges.Config}, r.Sources.Config},
+			{core.Changes{Runners: r.LastChanges.Runners}, r.Sources.Runners},
+			{core.Changes{Settings: r.LastChanges.Settings}, r.Sources.Settings},
 		} {
 			if name := p.roster.Name(c.source); name != "" {
 				summary.Changes = append(summary.Changes, Change{c.change, name})
@@ -290,7 +290,7 @@
 // whether it got any.
 func (p *Peers) lookUpUnknown(ctx context.Context) bool {
 	p.mu.Lock()
-	hub, codes := p.roster.Unknown(p.clock.Now())
+	hub, codes := p.roster.UnknownDaemons(p.clock.Now())
 	to := p.peersOf([]core.Code{hub})
 	p.mu.Unlock()
 	if len(codes) == 0 || len(to) == 0 {
@@ -299,7 +299,7 @@
 	ctx, cancel := context.WithTimeout(ctx, lookupTimeout)
 	defer cancel()
 	var got []Peer
-	if err := p.Ask(ctx, to[0], kindLookup, codes, &got, lookupResend); err != nil {
+	if err := p.Request(ctx, to[0], kindLookup, codes, &got, lookupResend); err != nil {
 		p.log.Debug(logs.DaemonUnknown, zap.String("hub", to[0].Name), logs.Err(err))
 		return false
 	}
@@ -320,13 +320,13 @@
 	now := p.clock.Now()
 	k := p.known[peer.Name]
 	if k == nil {
-		p.log.Info(logs.DaemonFound, zap.String("other", peer.Name), zap.Stringer("caller", peer.Caller))
+		p.log.Info(logs.DaemonDiscovered, zap.String("other", peer.Name), zap.Stringer("caller", peer.Caller))
 		k = &knownPeer{lastSeen: now.Add(-aliveTimeout), silent: true}
 		p.known[peer.Name] = k
 	}
 	peer.State = k.State
 	k.Peer = peer
-	p.roster.Know(now, peer.daemon())
+	p.roster.AddDaemon(now, peer.daemon())
 }
 
 // handleLookup replies with those of the requested daemons that are known here.
--- a/coordination/peers/fleet_test.go
+++ b/coordination/peers/fleet_test.go
@@ -47,7 +47,7 @@
 		defer mu.Unlock()
 		sums[i] = counts[core.CodeOf("r")]
 	})
-	all[3].SetState(func() State { return State{Ready: true, Term: 7, Fresh: true, Confirmed: -1} })
+	all[3].SetState(func() State { return State{Ready: true, Term: 7, LeaseRenewed: true, Confirmed: -1} })
 	for _, p := range all {
 		p.Handle("news", func(from Peer, body json.RawMessage, _ func(any)) {
 			if from.Name == "d3" && string(body) == `"adapter"` {
@@ -67,7 +67,7 @@
 	eventually(t, "all are ready and the holder is known everywhere", func() bool {
 		for _, p := range all {
 			holder, ok := p.Holder()
-			if !p.Large() || p.Count() != daemons || !ok || holder.Name != "d3" || !holder.Fresh {
+			if !p.Large() || p.Count() != daemons || !ok || holder.Name != "d3" || !holder.LeaseRenewed {
 				return false
 			}
 			for _, peer := range p.Alive() {
@@ -88,7 +88,7 @@
 		}
 		return true
 	})
-	all[3].TellAll("news", "adapter")
+	all[3].Broadcast("news", "adapter")
 	eventually(t, "all have received the broadcast", func() bool { return received.Load() >= daemons-1 })
 	assert.NilError(t, all[5].Unregister(context.Background()))
 	all[5].Stop()
@@ -123,10 +123,10 @@
 	old := all[7]
 	old.Stop()
 	self := old.Self()
-	replacement := newPeers(t, memory.New(), self.Name, self.Place, nil, nil)
+	replacement := newPeers(t, memory.New(), self.Name, self.DataCentre, nil, nil)
 	replacement.store = old.store
 	replacement.self.Caller = self.Peer
-	replacement.roster.Know(replacement.clock.Now(), replacement.self.daemon())
+	replacement.roster.AddDaemon(replacement.clock.Now(), replacement.self.daemon())
 	replacement.SetState(func() State { return State{Ready: true, Confirmed: -1} })
 	replacement.Start()
 	defer replacement.Stop()
--- a/coordination/peers/peers.go
+++ b/coordination/peers/peers.go
@@ -40,25 +40,25 @@
 
 // Peer is a daemon as it describes itself.
 type Peer struct {
-	Name    string         `json:"name"`
-	Place   string         `json:"place"`           // data centre
-	Caller  netip.AddrPort `json:"caller"`          // address that callers connect to
-	Peer    netip.AddrPort `json:"peer"`            // address for datagrams of other daemons
-	Boot    uint64         `json:"boot"`            // number of the process; later processes have larger ones
-	Cores   float64        `json:"cores,omitempty"` // processor cores that it may use; 0: not known
-	Leaving bool           `json:"leaving,omitempty"`
+	Name       string         `json:"name"`
+	DataCentre string         `json:"place"`           // data centre
+	Caller     netip.AddrPort `json:"caller"`          // address that callers connect to
+	Peer       netip.AddrPort `json:"peer"`            // address for datagrams of other daemons
+	Boot       uint64         `json:"boot"`            // number of the process; later processes have larger ones
+	Cores      float64        `json:"cores,omitempty"` // processor cores that it may use; 0: not known
+	Leaving    bool           `json:"leaving,omitempty"`
 	State
 }
 
 // State is the part of a Peer that changes while the daemon serves.
 type State struct {
-	Ready     bool          `json:"ready,omitempty"`   // callers may be sent to it
-	Failing   bool          `json:"failing,omitempty"` // does not reach the store
-	Term      uint64        `json:"term,omitempty"`    // of the lease of orders, while it holds the lease
-	Fresh     bool          `json:"fresh,omitempty"`   // the lease was renewed recently
-	Knows     core.Changes  `json:"knows"`             // the last changes that it has received; in a large fleet only of the settings
-	Down      []core.Code   `json:"down,omitempty"`    // runners that have recently refused its connections; not kept in a large fleet
-	Confirmed time.Duration `json:"confirmed"`         // since its settings were confirmed to be the store's newest; below 0: never
+	Ready           bool          `json:"ready,omitempty"`   // callers may be sent to it
+	Failing         bool          `json:"failing,omitempty"` // does not reach the store
+	Term            uint64        `json:"term,omitempty"`    // of the lease of orders, while it holds the lease
+	LeaseRenewed    bool          `json:"fresh,omitempty"`   // the lease was renewed recently
+	LastChanges     core.Changes  `json:"knows"`             // the last changes that it has received; in a large fleet only of the settings
+	RefusingRunners []core.Code   `json:"down,omitempty"`    // runners that have recently refused its connections; not kept in a large fleet
+	Confirmed       time.Duration `json:"confirmed"`         // since its settings were confirmed to be the store's newest; below 0: never
 }
 
 // datagram is a JSON datagram between daemons: a heartbeat, a request for one, a message
@@ -102,7 +102,7 @@
 	log       *zap.Logger
 	ownLoads  func() map[core.Code]int
 	onLoads   func(from Peer, counts map[core.Code]int)
-	onSummary func(News)
+	onSummary func(Summary)
 	onSend    func(kind string, sameDataCentre bool, bytes int)
 	ownUsage  func() map[core.Code]core.Usage
 	onUsage   func(reachable, known int, usage map[core.Code]core.Usage)
@@ -132,7 +132,7 @@
 	p := &Peers{
 		store: store, kind: kind, conn: conn, clock: clock, log: log, ownLoads: loads, onLoads: onLoads, self: self,
 		state:     func() State { return State{Confirmed: -1} },
-		onSummary: func(News) {}, onSend: func(string, bool, int) {},
+		onSummary: func(Summary) {}, onSend: func(string, bool, int) {},
 		ownUsage: func() map[core.Code]core.Usage { return nil }, onUsage: func(int, int, map[core.Code]core.Usage) {},
 		known: map[string]*knownPeer{}, handlers: map[string]Handler{}, pending: map[uint64]chan json.RawMessage{},
 		roster: roster.New(clock.Now(), self.daemon()), sendQueue: make(chan queued, maxQueued), lookup: make(chan struct{}, 1),
@@ -147,13 +147,13 @@
 // Option changes a Peers.
 type Option func(*Peers)
 
-// WithNews sets the function that gets the hubs' summaries in a large fleet, without the
+// WithSummaries sets the function that gets the hubs' summaries in a large fleet, without the
 // loads and the daemons' states.
-func WithNews(fn func(News)) Option { return func(p *Peers) { p.onSummary = fn } }
+func WithSummaries(fn func(Summary)) Option { return func(p *Peers) { p.onSummary = fn } }
 
-// WithCount calls fn for each datagram that is sent, with its kind, whether it goes to a
+// WithDatagramCounter calls fn for each datagram that is sent, with its kind, whether it goes to a
 // peer of the same data centre, and its size.
-func WithCount(fn func(kind string, sameDataCentre bool, bytes int)) Option {
+func WithDatagramCounter(fn func(kind string, sameDataCentre bool, bytes int)) Option {
 	return func(p *Peers) { p.onSend = fn }
 }
 
@@ -204,30 +204,30 @@
 	p.wg.Wait()
 }
 
-// Nudge sends this daemon's state at once, without waiting for the next interval, to the
+// SendState sends this daemon's state at once, without waiting for the next interval, to the
 // peers of this data centre, and to those of other data centres if remote is set.
-func (p *Peers) Nudge(remote bool) { p.sendNow(remote) }
+func (p *Peers) SendState(remote bool) { p.sendNow(remote) }
 
-// Acquaintance is a known peer, alive or not.
-type Acquaintance struct {
+// PeerStatus is a known peer, alive or not.
+type PeerStatus struct {
 	Peer
 	Alive bool
 }
 
 // Known returns all known peers, unreachable ones too.
-func (p *Peers) Known() []Acquaintance {
+func (p *Peers) Known() []PeerStatus {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	now := p.clock.Now()
-	out := make([]Acquaintance, 0, len(p.known))
+	out := make([]PeerStatus, 0, len(p.known))
 	for _, k := range p.known {
-		out = append(out, Acquaintance{Peer: k.Peer, Alive: k.alive(now)})
+		out = append(out, PeerStatus{Peer: k.Peer, Alive: k.alive(now)})
 	}
 	return out
 }
 
-// Found returns whether the daemons' objects in the store have been listed.
-func (p *Peers) Found() bool {
+// Discovered returns whether the daemons' objects in the store have been listed.
+func (p *Peers) Discovered() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.discovered
@@ -306,7 +306,7 @@
 		p.notifyUsage()
 		if p.Large() {
 			p.reportToHubs(false)
-			core.Sleep(ctx, p.clock, roster.TellEvery)
+			core.Sleep(ctx, p.clock, roster.ReportInterval)
 			continue
 		}
 		now := p.clock.Now()
--- a/coordination/peers/peers_test.go
+++ b/coordination/peers/peers_test.go
@@ -26,7 +26,7 @@
 	conn, err := net.ListenUDP("udp", net.UDPAddrFromAddrPort(netip.MustParseAddrPort("127.0.0.1:0")))
 	assert.NilError(t, err)
 	addr := netip.MustParseAddrPort(conn.LocalAddr().String())
-	self := Peer{Name: name, Place: dataCentre, Peer: addr, Caller: netip.MustParseAddrPort("127.0.0.1:1"), Boot: uint64(time.Now().UnixNano())}
+	self := Peer{Name: name, DataCentre: dataCentre, Peer: addr, Caller: netip.MustParseAddrPort("127.0.0.1:1"), Boot: uint64(time.Now().UnixNano())}
 	if onLoads == nil {
 		onLoads = func(Peer, map[core.Code]int) {}
 	}
@@ -106,13 +106,13 @@
 	var got int
 	ctx, cancel := context.WithTimeout(context.Background(), 20*time.Second)
 	defer cancel()
-	assert.NilError(t, a.Ask(ctx, to, "double", 21, &got, 50*time.Millisecond))
+	assert.NilError(t, a.Request(ctx, to, "double", 21, &got, 50*time.Millisecond))
 	assert.Equal(t, got, 42)
-	a.Tell(to, "news", 1)
+	a.Send(to, "news", 1)
 	assert.Equal(t, <-received, "a")
 	short, cancel := context.WithTimeout(context.Background(), 50*time.Millisecond)
 	defer cancel()
-	assert.ErrorIs(t, a.Ask(short, to, "unknown", 1, &got, 10*time.Millisecond), ErrNoAnswer)
+	assert.ErrorIs(t, a.Request(short, to, "unknown", 1, &got, 10*time.Millisecond), ErrNoReply)
 }
 
 // Two daemons may claim the lease of orders for a moment; the one with the later term is
--- a/coordination/peers/usage.go
+++ b/coordination/peers/usage.go
@@ -15,7 +15,7 @@
 	reachable, known := p.countDaemons(now)
 	var usage map[core.Code]core.Usage
 	if p.large() {
-		usage = p.roster.Usage(now)
+		usage = p.roster.OtherUsage(now)
 	} else {
 		usage = p.sumUsage(now)
 	}
@@ -30,7 +30,7 @@
 	reachable, known = 1, 1
 	for _, k := range p.known {
 		alive := k.alive(now)
-		if alive && now.Sub(k.lastSeen) < roster.TouchFor {
+		if alive && now.Sub(k.lastSeen) < roster.ReachableFor {
 			reachable++
 		}
 		if alive || !k.Leaving {
@@ -38,7 +38,7 @@
 		}
 	}
 	if p.large() {
-		reachable = max(1, p.roster.Touch(now))
+		reachable = max(1, p.roster.CountReachable(now))
 	}
 	if !p.discovered {
 		known = 0
@@ -56,13 +56,13 @@
 		}
 		for code, u := range k.usage {
 			sum := out[code]
-			out[code] = core.Usage{Asked: sum.Asked + u.Asked, Spent: sum.Spent + u.Spent, Left: sum.Left + u.Left}
+			out[code] = core.Usage{Demand: sum.Demand + u.Demand, Admitted: sum.Admitted + u.Admitted, Available: sum.Available + u.Available}
 			counts[code]++
 		}
 	}
 	for code, u := range out {
-		if u.Left /= counts[code]; math.IsInf(u.Left, 0) {
-			u.Left = math.NaN()
+		if u.Available /= counts[code]; math.IsInf(u.Available, 0) {
+			u.Available = math.NaN()
 		}
 		out[code] = u
 	}
--- a/coordination/placement/adapters.go
+++ b/coordination/placement/adapters.go
@@ -34,7 +34,7 @@
 
 // place answers immediately if a runner has the model or adapter, and otherwise has it
 // loaded.
-func (h *Holder) place(w dispatch.Want, answer func(PlaceResult)) {
+func (h *Holder) place(w dispatch.PlacementKey, answer func(PlaceResult)) {
 	if !h.ensureTerm() {
 		answer(PlaceResult{Retry: modelRetryDelay})
 		return
@@ -66,7 +66,7 @@
 
 // configured reports whether the configuration lists a model or adapter. A runner would
 // refuse every order for one that is not listed.
-func (h *Holder) configured(w dispatch.Want) bool {
+func (h *Holder) configured(w dispatch.PlacementKey) bool {
 	config := h.catalog.Config()
 	if config == nil || config.Services[w.Service] == nil || config.Services[w.Service].Engine == nil {
 		return false
@@ -86,7 +86,7 @@
 
 // placeModel answers a request for a model. A model that no runner has is loaded by the
 // next plan, which already includes the demand of this request.
-func (h *Holder) placeModel(w dispatch.Want) PlaceResult {
+func (h *Holder) placeModel(w dispatch.PlacementKey) PlaceResult {
 	out := PlaceResult{Retry: modelRetryDelay}
 	for id, rs := range h.runners {
 		if m, ok := rs.models[w.Model]; ok && m.phase == present && h.mayServe(rs, w) {
@@ -100,8 +100,8 @@
 }
 
 // mayServe reports whether requests for a model or adapter may be sent to a runner.
-func (h *Holder) mayServe(rs *runnerState, w dispatch.Want) bool {
-	return rs.usable(w.Service) && h.allowed(w.Service, w.Model, rs.runner.Place)
+func (h *Holder) mayServe(rs *runnerState, w dispatch.PlacementKey) bool {
+	return rs.usable(w.Service) && h.allowed(w.Service, w.Model, rs.runner.DataCentre)
 }
 
 func (rs *runnerState) usable(service string) bool {
@@ -111,7 +111,7 @@
 // runnerWithAdapter returns the least busy runner that has an adapter in a phase. If w.Busy
 // is set and the phase is present, it considers only runners without a limit that have a
 // free slot.
-func (h *Holder) runnerWithAdapter(w dispatch.Want, p phase) *runnerState {
+func (h *Holder) runnerWithAdapter(w dispatch.PlacementKey, p phase) *runnerState {
 	var best *runnerState
 	fewest := 0
 	for _, rs := range h.runners {
@@ -131,7 +131,7 @@
 }
 
 // advanceAdapter takes the next step to load an adapter that requests wait for.
-func (h *Holder) advanceAdapter(w dispatch.Want) {
+func (h *Holder) advanceAdapter(w dispatch.PlacementKey) {
 	list, ok := h.waiting[w]
 	if !ok {
 		return
@@ -158,7 +158,7 @@
 
 // answerWaiters answers the requests that wait for an adapter. If a runner has been found,
 // this includes those that wait with the opposite value of Busy.
-func (h *Holder) answerWaiters(w dispatch.Want, p PlaceResult) {
+func (h *Holder) answerWaiters(w dispatch.PlacementKey, p PlaceResult) {
 	h.answerEach(w, p)
 	if p.Runner != "" {
 		w.Busy = !w.Busy // a runner that has just loaded the adapter has capacity for both
@@ -166,7 +166,7 @@
 	}
 }
 
-func (h *Holder) answerEach(w dispatch.Want, p PlaceResult) {
+func (h *Holder) answerEach(w dispatch.PlacementKey, p PlaceResult) {
 	list, ok := h.waiting[w]
 	if !ok {
 		return
@@ -180,7 +180,7 @@
 // chooseAdapterRunner returns the runner on which to load an adapter: the least busy one
 // that has its model and a free adapter slot, or else one on which another adapter can be
 // unloaded, with that adapter.
-func (h *Holder) chooseAdapterRunner(w dispatch.Want) (*runnerState, adapterKey) {
+func (h *Holder) chooseAdapterRunner(w dispatch.PlacementKey) (*runnerState, adapterKey) {
 	var withFreeSlot, withVictim *runnerState
 	var victim adapterKey
 	var lowestValue float64
@@ -216,7 +216,7 @@
 
 // unlimitedRunnerHas reports whether a runner without a limit, other than exclude, has an
 // adapter's model.
-func (h *Holder) unlimitedRunnerHas(w dispatch.Want, exclude *runnerState) bool {
+func (h *Holder) unlimitedRunnerHas(w dispatch.PlacementKey, exclude *runnerState) bool {
 	for _, rs := range h.runners {
 		if m, ok := rs.models[w.Model]; rs != exclude && ok && m.phase == present && !rs.limited && h.mayServe(rs, w) {
 			return true
@@ -257,7 +257,7 @@
 }
 
 // loadAdapter orders a runner to load an adapter and repeats the order until it is loaded.
-func (h *Holder) loadAdapter(rs *runnerState, w dispatch.Want) {
+func (h *Holder) loadAdapter(rs *runnerState, w dispatch.PlacementKey) {
 	key := adapterKey{w.Model, w.Adapter}
 	item := &placedItem{phase: loading, lastUsed: h.clock.Now()}
 	rs.adapters[key] = item
@@ -265,7 +265,7 @@
 	h.send(rs, o, func(result core.OrderResult) { h.handleAdapterResult(rs, w, item, result, firstConfirmDelay) })
 }
 
-func (h *Holder) handleAdapterResult(rs *runnerState, w dispatch.Want, item *placedItem, result core.OrderResult, next time.Duration) {
+func (h *Holder) handleAdapterResult(rs *runnerState, w dispatch.PlacementKey, item *placedItem, result core.OrderResult, next time.Duration) {
 	key := adapterKey{w.Model, w.Adapter}
 	if rs.adapters[key] != item {
 		return // a report has replaced the state since
@@ -280,12 +280,12 @@
 		if rs.synced {
 			h.postAfter(next, func() { h.confirmAdapter(rs, w, item) })
 		}
-	case core.OrderUnknown, core.OrderRefused, core.OrderWrongHost:
+	case core.OrderUnknown, core.OrderRefused, core.OrderWrongInstance:
 		// send has marked the state as unknown. The slot counts as occupied until a new report.
 	}
 }
 
-func (h *Holder) confirmAdapter(rs *runnerState, w dispatch.Want, item *placedItem) {
+func (h *Holder) confirmAdapter(rs *runnerState, w dispatch.PlacementKey, item *placedItem) {
 	if !h.mayStillOrder(rs, rs.adapters[adapterKey{w.Model, w.Adapter}], item) {
 		return
 	}
@@ -299,11 +299,11 @@
 }
 
 // unloadAdapter unloads an adapter so that a requested one can be loaded.
-func (h *Holder) unloadAdapter(rs *runnerState, key adapterKey, w dispatch.Want) {
+func (h *Holder) unloadAdapter(rs *runnerState, key adapterKey, w dispatch.PlacementKey) {
 	item := rs.adapters[key]
 	item.phase = unloading
 	h.broadcast(HoldingUpdate{Runner: rs.runner.ID, Model: key.model, Adapter: key.adapter})
-	h.log.Info(logs.AdapterYields, zap.String("runner", rs.runner.ID), zap.String("model", key.model), zap.String("adapter", key.adapter),
+	h.log.Info(logs.AdapterDisplaced, zap.String("runner", rs.runner.ID), zap.String("model", key.model), zap.String("adapter", key.adapter),
 		zap.Duration("unused", h.clock.Since(item.lastUsed)))
 	h.send(rs, core.RunnerOrder{Model: key.model, Adapter: key.adapter}, func(result core.OrderResult) {
 		if rs.adapters[key] != item {
@@ -318,7 +318,7 @@
 		case core.OrderAccepted:
 			item.phase = unloading
 			h.postAfter(modelConfirmInterval, func() { rs.synced = false })
-		case core.OrderUnknown, core.OrderConflict, core.OrderRefused, core.OrderWrongHost:
+		case core.OrderUnknown, core.OrderConflict, core.OrderRefused, core.OrderWrongInstance:
 			// send has marked the state as unknown. The slot counts as occupied until a new report.
 		}
 	})
@@ -338,7 +338,7 @@
 		}
 		if key, ok := h.nextAdapter(rs, replicas); ok {
 			replicas[key]++
-			h.loadAdapter(rs, dispatch.Want{Service: service, Model: key.model, Adapter: key.adapter})
+			h.loadAdapter(rs, dispatch.PlacementKey{Service: service, Model: key.model, Adapter: key.adapter})
 		}
 	}
 }
@@ -350,7 +350,7 @@
 	bestScore, found := 0.0, false
 	for name, m := range rs.models {
 		spec := rs.engine.Model(name)
-		if m.phase != present || spec == nil || rs.freeMB() < spec.AdapterMB || !h.allowed(rs.runner.Service, name, rs.runner.Place) {
+		if m.phase != present || spec == nil || rs.freeMB() < spec.AdapterMB || !h.allowed(rs.runner.Service, name, rs.runner.DataCentre) {
 			continue
 		}
 		for _, adapter := range spec.AdapterNames() {
@@ -358,7 +358,7 @@
 			if _, ok := rs.adapters[key]; ok {
 				continue
 			}
-			demand := h.demand[dispatch.Want{Service: rs.runner.Service, Model: name, Adapter: key.adapter}]
+			demand := h.demand[dispatch.PlacementKey{Service: rs.runner.Service, Model: name, Adapter: key.adapter}]
 			if replicas[key] > 0 && (demand == 0 || h.paused()) {
 				continue
 			}
--- a/coordination/placement/client.go
+++ b/coordination/placement/client.go
@@ -32,8 +32,8 @@
 
 // demandEntry is one demand count as sent between daemons.
 type demandEntry struct {
-	Want  dispatch.Want `json:"want"`
-	Count float64       `json:"count"`
+	Want  dispatch.PlacementKey `json:"want"`
+	Count float64               `json:"count"`
 }
 
 // Client sends requests for models and adapters, and the demand, to the daemon that holds
@@ -71,7 +71,7 @@
 }
 
 func (c *Client) handlePlace(_ peers.Peer, body json.RawMessage, answer func(any)) {
-	var w dispatch.Want
+	var w dispatch.PlacementKey
 	if err := json.Unmarshal(body, &w); err != nil {
 		c.log.Warn(logs.MessageUnreadable, logs.Err(err))
 		return
@@ -85,7 +85,7 @@
 		c.log.Warn(logs.MessageUnreadable, zap.String("other", from.Name), logs.Err(err))
 		return
 	}
-	counts := make(map[dispatch.Want]float64, len(list))
+	counts := make(map[dispatch.PlacementKey]float64, len(list))
 	for _, w := range list {
 		counts[w.Want] += w.Count
 	}
@@ -93,7 +93,7 @@
 }
 
 // Place implements dispatch.Placer.
-func (c *Client) Place(ctx context.Context, w dispatch.Want) (string, time.Duration, error) {
+func (c *Client) Place(ctx context.Context, w dispatch.PlacementKey) (string, time.Duration, error) {
 	ctx, cancel := context.WithTimeout(ctx, placeTimeout)
 	defer cancel()
 	to, ok := c.peers.Holder()
@@ -109,7 +109,7 @@
 		case <-ctx.Done():
 			return "", 0, eris.Wrap(core.ErrUnavailable, "the holder of the lease of orders did not answer in time")
 		}
-	} else if err := c.peers.Ask(ctx, to, kindPlace, w, &got, placeResendInterval); err != nil {
+	} else if err := c.peers.Request(ctx, to, kindPlace, w, &got, placeResendInterval); err != nil {
 		return "", 0, eris.Wrapf(err, "holder %s", to.Name)
 	}
 	if got.Runner == "" {
@@ -144,5 +144,5 @@
 	for w, n := range counts {
 		list = append(list, demandEntry{w, n})
 	}
-	c.peers.Tell(to, kindDemand, list)
+	c.peers.Send(to, kindDemand, list)
 }
--- a/coordination/placement/engine_test.go
+++ b/coordination/placement/engine_test.go
@@ -73,7 +73,7 @@
 		r.Holdings = append(r.Holdings, h)
 	}
 	for a := range e.loadingAdapters {
-		r.Coming = append(r.Coming, a)
+		r.LoadingAdapters = append(r.LoadingAdapters, a)
 	}
 	e.history = append(e.history, snapshot{time.Now(), r})
 }
@@ -117,15 +117,15 @@
 	switch {
 	case x < fs.lost:
 		<-ctx.Done()
-		return core.OrderUnknown, eris.Wrap(core.ErrLost, "lost")
+		return core.OrderUnknown, eris.Wrap(core.ErrAnswerLost, "lost")
 	case x < fs.lost+fs.answerLost:
 		e.accept(o)
 		<-ctx.Done()
-		return core.OrderUnknown, eris.Wrap(core.ErrLost, "answer lost")
+		return core.OrderUnknown, eris.Wrap(core.ErrAnswerLost, "answer lost")
 	case x < fs.lost+fs.answerLost+fs.late:
 		time.AfterFunc(delay, func() { e.accept(o) })
 		<-ctx.Done()
-		return core.OrderUnknown, eris.Wrap(core.ErrLost, "late")
+		return core.OrderUnknown, eris.Wrap(core.ErrAnswerLost, "late")
 	}
 	return e.accept(o), nil
 }
--- a/coordination/placement/fatal.go
+++ b/coordination/placement/fatal.go
@@ -9,9 +9,9 @@
 
 // Guard holds back loads under which runners have exited, as it does requests.
 type Guard interface {
-	Held(d core.Digest) time.Duration
-	Broke(b core.Broken)
-	Worked(d core.Digest)
+	HoldRemaining(d core.Digest) time.Duration
+	ConnectionLost(b core.LostRequest)
+	Served(d core.Digest)
 }
 
 // Option configures a Holder.
@@ -29,7 +29,7 @@
 // were ordered repeatedly, it would make one runner after another exit, each with all its
 // other models.
 func (h *Holder) loadHeld(service, model string) bool {
-	return model != "" && h.guard.Held(core.LoadDigest(service, model)) > 0
+	return model != "" && h.guard.HoldRemaining(core.LoadDigest(service, model)) > 0
 }
 
 // noteLoadExit reports to the guard that a runner exited, or stopped listening, while it was
@@ -47,5 +47,5 @@
 	if rs.runner.Draining || h.loads.View(rs.runner.ID).Requests > 0 {
 		return
 	}
-	h.guard.Broke(core.BrokenLoad(rs.runner.Service, o.Model, rs.runner))
+	h.guard.ConnectionLost(core.LostLoad(rs.runner.Service, o.Model, rs.runner))
 }
--- a/coordination/placement/fatal_test.go
+++ b/coordination/placement/fatal_test.go
@@ -36,7 +36,7 @@
 func (f *fatalRunners) Report(ctx context.Context, r *core.Runner) (*core.Report, error) {
 	report, err := f.fx.engines.Report(ctx, r)
 	if err == nil {
-		report.Born = f.fx.catalog.Runner(r.ID).Born
+		report.StartedAt = f.fx.catalog.Runner(r.ID).StartedAt
 	}
 	return report, err
 }
@@ -49,7 +49,7 @@
 	f.loads++
 	f.mu.Unlock()
 	f.fx.restart(r.ID, time.Now())
-	return core.OrderUnknown, fmt.Errorf("%w: %w", core.ErrLost, core.ErrClosed)
+	return core.OrderUnknown, fmt.Errorf("%w: %w", core.ErrAnswerLost, core.ErrClosed)
 }
 
 // singleDaemon is the network of a daemon without peers.
@@ -58,10 +58,10 @@
 func (singleDaemon) Self() peers.Peer             { return peers.Peer{Name: "d1"} }
 func (a singleDaemon) Alive() []peers.Peer        { return []peers.Peer{a.Self()} }
 func (singleDaemon) Handle(string, peers.Handler) {}
-func (singleDaemon) Tell(peers.Peer, string, any) {}
-func (singleDaemon) TellAll(string, any)          {}
-func (singleDaemon) Ask(context.Context, peers.Peer, string, any, any, time.Duration) error {
-	return peers.ErrNoAnswer
+func (singleDaemon) Send(peers.Peer, string, any) {}
+func (singleDaemon) Broadcast(string, any)        {}
+func (singleDaemon) Request(context.Context, peers.Peer, string, any, any, time.Duration) error {
+	return peers.ErrNoReply
 }
 
 // Guards against repeated exits of runners, each of which loses all its models. Each runner
@@ -69,7 +69,7 @@
 // from the configuration. While requests for the model continued, the holder ordered it on
 // one runner after another, since it did not record that the order made the runner exit.
 // Such a load is now put on hold like a request under which runners exit.
-func TestModelThatEndsRunnersIsNotLoadedAgainAndAgain(t *testing.T) {
+func TestFatalModelIsNotLoadedRepeatedly(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		fx := newFixture(t, 4, 4, faults{reportDelay: 200 * time.Millisecond}, 1)
 		fx.spec.Models = append(fx.spec.Models, core.Model{Name: fatalModel, MemoryMB: 60, Load: 2 * time.Second})
@@ -81,9 +81,9 @@
 		fx.run(1, func() {
 			for range 60 {
 				for i := range 4 {
-					fx.holder.AddDemand(map[dispatch.Want]float64{{Service: "s", Model: modelName(i)}: 3})
+					fx.holder.AddDemand(map[dispatch.PlacementKey]float64{{Service: "s", Model: modelName(i)}: 3})
 				}
-				fx.holder.AddDemand(map[dispatch.Want]float64{{Service: "s", Model: fatalModel}: 10})
+				fx.holder.AddDemand(map[dispatch.PlacementKey]float64{{Service: "s", Model: fatalModel}: 10})
 				time.Sleep(time.Second)
 			}
 		})
@@ -105,7 +105,7 @@
 // Guards against a harmless model not being loaded for seconds. The runners chosen for it had
 // exited before they received the order, which counted as exits under its load. Runners that
 // exit while they carry out the load still count.
-func TestLoadsThatARunnerNeverHeardOfAreNotCounted(t *testing.T) {
+func TestUnreceivedLoadsAreNotCounted(t *testing.T) {
 	for _, tt := range []struct {
 		name      string
 		accepted  bool
@@ -133,4 +133,4 @@
 	exits int
 }
 
-func (g *countingGuard) Broke(core.Broken) { g.exits++ }
+func (g *countingGuard) ConnectionLost(core.LostRequest) { g.exits++ }
--- a/coordination/placement/holder.go
+++ b/coordination/placement/holder.go
@@ -110,12 +110,12 @@
 	inbox         chan func()
 	term          uint64
 	runners       map[string]*runnerState
-	demand        map[dispatch.Want]float64
+	demand        map[dispatch.PlacementKey]float64
 	decayedAt     time.Time
 	termBegan     time.Time                     // start of the current term
 	lastNewRunner time.Time                     // when a runner was last added to the list
 	priorDemand   map[string]map[string]float64 // by service: demand assumed before any is measured
-	waiting       map[dispatch.Want]*waiters
+	waiting       map[dispatch.PlacementKey]*waiters
 	storeTokensAt time.Time // when storeTokens was last updated
 	storeTokens   float64   // loads from the weight store that may start now
 
@@ -128,8 +128,8 @@
 func New(self string, c *catalog.Catalog, loads *load.Table, client RunnerClient, lease Lease, clock core.Clock, log *zap.Logger, count func(string), broadcast func(HoldingUpdate), opts ...Option) *Holder {
 	h := &Holder{
 		self: self, catalog: c, loads: loads, runnerClient: client, lease: lease, clock: clock, log: log, count: count, broadcast: broadcast,
-		inbox: make(chan func(), inboxSize), runners: map[string]*runnerState{}, demand: map[dispatch.Want]float64{},
-		waiting: map[dispatch.Want]*waiters{}, guard: core.NoGuard{}, isLimited: func(string) bool { return false },
+		inbox: make(chan func(), inboxSize), runners: map[string]*runnerState{}, demand: map[dispatch.PlacementKey]float64{},
+		waiting: map[dispatch.PlacementKey]*waiters{}, guard: core.NoGuard{}, isLimited: func(string) bool { return false },
 	}
 	for _, opt := range opts {
 		opt(h)
@@ -156,7 +156,7 @@
 	if t == nil {
 		return true
 	}
-	_, ok := t.Allowed(tree.Coord{Service: service, Model: model, Place: dataCentre})
+	_, ok := t.Allowed(tree.Selector{Service: service, Model: model, DataCentre: dataCentre})
 	return ok
 }
 
@@ -198,13 +198,13 @@
 }
 
 // AddDemand adds the requests counted by a daemon to the demand.
-func (h *Holder) AddDemand(counts map[dispatch.Want]float64) {
+func (h *Holder) AddDemand(counts map[dispatch.PlacementKey]float64) {
 	h.post(func() { h.addDemand(counts) })
 }
 
 // Place finds a runner for a model or adapter, has it loaded if necessary, and calls
 // answer once.
-func (h *Holder) Place(w dispatch.Want, answer func(PlaceResult)) {
+func (h *Holder) Place(w dispatch.PlacementKey, answer func(PlaceResult)) {
 	h.post(func() { h.place(w, answer) })
 }
 
@@ -257,7 +257,7 @@
 		return false
 	}
 	if term != h.term {
-		h.log.Info(logs.TermBegins, zap.Uint64("term", term))
+		h.log.Info(logs.TermStarted, zap.Uint64("term", term))
 		h.term = term
 		h.runners = map[string]*runnerState{}
 		h.storeTokensAt, h.storeTokens = h.clock.Now(), 0
@@ -266,7 +266,7 @@
 	return true
 }
 
-func (h *Holder) addDemand(counts map[dispatch.Want]float64) {
+func (h *Holder) addDemand(counts map[dispatch.PlacementKey]float64) {
 	h.decayDemand()
 	for w, n := range counts {
 		h.demand[w] += n
@@ -314,7 +314,7 @@
 			continue
 		}
 		rs, ok := h.runners[id]
-		if !ok || !rs.runner.Born.Equal(e.Born) {
+		if !ok || !rs.runner.StartedAt.Equal(e.StartedAt) {
 			next := newRunnerState(e.Runner, service.Engine)
 			if ok {
 				next.formerUnanswered = rs.ordersForNextInstance()
@@ -364,19 +364,19 @@
 	if err != nil || report.Busy {
 		rs.reportAfter = h.clock.Now().Add(reportLag / 2)
 		if err != nil {
-			h.log.Info(logs.RunnerSilent, zap.String("runner", rs.runner.ID), logs.Err(err))
+			h.log.Info(logs.RunnerUnresponsive, zap.String("runner", rs.runner.ID), logs.Err(err))
 		}
 		return
 	}
 	rs.applyReport(report, h.clock.Now())
-	h.log.Info(logs.RunnerKnown, zap.String("runner", rs.runner.ID), zap.Uint64("sequence", rs.sequence),
+	h.log.Info(logs.RunnerReported, zap.String("runner", rs.runner.ID), zap.Uint64("sequence", rs.sequence),
 		zap.Int("models", len(rs.models)), zap.Int("adapters", len(rs.adapters)))
 }
 
 // noteNoListener records that nothing listens at a runner's address.
 func (h *Holder) noteNoListener(rs *runnerState, err error) {
 	if errors.Is(err, core.ErrNoListener) {
-		h.loads.Refused(rs.runner.ID)
+		h.loads.ConnectionRefused(rs.runner.ID)
 	}
 }
 
--- a/coordination/placement/holder_test.go
+++ b/coordination/placement/holder_test.go
@@ -61,7 +61,7 @@
 	for i := range runners {
 		id := fmt.Sprintf("r%d", i)
 		fx.engines[id] = newEngine(t, spec, rand.New(rand.NewPCG(seed, uint64(i))), fs, held[i]...)
-		fx.catalog.Put(core.Runner{ID: id, Service: "s", Slots: 8, Place: fmt.Sprint("p", i%2), Addr: netip.MustParseAddrPort("127.0.0.1:1")}, clock.Now())
+		fx.catalog.Put(core.Runner{ID: id, Service: "s", Slots: 8, DataCentre: fmt.Sprint("p", i%2), Addr: netip.MustParseAddrPort("127.0.0.1:1")}, clock.Now())
 	}
 	fx.holder = New("d1", fx.catalog, load.New(clock), fx.engines, fx.lease, clock, zap.NewNop(), func(string) {}, func(HoldingUpdate) {})
 	return fx
@@ -98,8 +98,8 @@
 // place requests an adapter and waits for the result.
 func (fx *fixture) place(model, adapter string) PlaceResult {
 	ch := make(chan PlaceResult, 1)
-	fx.holder.AddDemand(map[dispatch.Want]float64{{Service: "s", Model: model, Adapter: adapter}: 1})
-	fx.holder.Place(dispatch.Want{Service: "s", Model: model, Adapter: adapter}, func(p PlaceResult) { ch <- p })
+	fx.holder.AddDemand(map[dispatch.PlacementKey]float64{{Service: "s", Model: model, Adapter: adapter}: 1})
+	fx.holder.Place(dispatch.PlacementKey{Service: "s", Model: model, Adapter: adapter}, func(p PlaceResult) { ch <- p })
 	return <-ch
 }
 
@@ -155,7 +155,7 @@
 			assert.Assert(t, fx.engines["r1"].hasModel("m1"))
 			fx.catalog.Lapse("r1", time.Now())
 			fx.catalog.Sweep(time.Now())
-			fx.holder.AddDemand(map[dispatch.Want]float64{{Service: "s", Model: "m1"}: 10})
+			fx.holder.AddDemand(map[dispatch.PlacementKey]float64{{Service: "s", Model: "m1"}: 10})
 			time.Sleep(6 * time.Second)
 			assert.Assert(t, fx.engines["r0"].hasModel("m1") || fx.engines["r2"].hasModel("m1"), "m1 has not been loaded again")
 		})
@@ -178,7 +178,7 @@
 		fx.configure(2)
 		fx.run(1, func() {
 			for range 40 {
-				fx.holder.AddDemand(map[dispatch.Want]float64{{Service: "s", Model: "m0"}: 10})
+				fx.holder.AddDemand(map[dispatch.PlacementKey]float64{{Service: "s", Model: "m0"}: 10})
 				time.Sleep(200 * time.Millisecond)
 				busy := 0
 				for _, e := range fx.engines {
@@ -202,7 +202,7 @@
 // Guards against ordering a runner to load more than its memory holds, which crashes it with
 // all its requests. Orders stay unanswered and are carried out seconds later, after newer
 // ones. The holder changes in between and reads outdated reports.
-func TestMemoryHoldsWhateverIsLost(t *testing.T) {
+func TestMemoryLimitHoldsUnderFaults(t *testing.T) {
 	for seed := range uint64(12) {
 		synctest.Test(t, func(t *testing.T) {
 			fs := faults{lost: 0.1, answerLost: 0.1, late: 0.2, reportDelay: 300 * time.Millisecond}
@@ -212,8 +212,8 @@
 				fx.run(term, func() {
 					for range 60 {
 						model, adapter := modelName(rnd.IntN(9)), fmt.Sprintf("a%d", 1+rnd.IntN(6))
-						fx.holder.AddDemand(map[dispatch.Want]float64{{Service: "s", Model: model, Adapter: adapter}: float64(1 + rnd.IntN(20))})
-						fx.holder.Place(dispatch.Want{Service: "s", Model: model, Adapter: adapter}, func(PlaceResult) {})
+						fx.holder.AddDemand(map[dispatch.PlacementKey]float64{{Service: "s", Model: model, Adapter: adapter}: float64(1 + rnd.IntN(20))})
+						fx.holder.Place(dispatch.PlacementKey{Service: "s", Model: model, Adapter: adapter}, func(PlaceResult) {})
 						time.Sleep(time.Duration(rnd.IntN(300)) * time.Millisecond)
 					}
 				})
@@ -232,7 +232,7 @@
 // Guards against refusing all requests for one model's adapters. The model's only replica
 // shares a runner with a busy model, whose adapters are requested all the time and occupy all
 // adapter slots of the runner, though each has a replica on another runner.
-func TestBusyAdaptersGiveWayWhereTheyHaveCopies(t *testing.T) {
+func TestBusyAdaptersAreEvictedWhereRedundant(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		fx := newFixture(t, 2, 2, faults{reportDelay: 200 * time.Millisecond}, 1)
 		for id, models := range map[string][]string{"r0": {"m0"}, "r1": {"m0", "m1"}} {
@@ -248,9 +248,9 @@
 			e.recordState()
 		}
 		fx.run(1, func() {
-			busy := map[dispatch.Want]float64{}
+			busy := map[dispatch.PlacementKey]float64{}
 			for i := 1; i <= fx.spec.AdapterSlots; i++ {
-				busy[dispatch.Want{Service: "s", Model: "m0", Adapter: fmt.Sprintf("a%d", i)}] = 5
+				busy[dispatch.PlacementKey{Service: "s", Model: "m0", Adapter: fmt.Sprintf("a%d", i)}] = 5
 			}
 			for range 20 {
 				fx.holder.AddDemand(busy)
@@ -313,7 +313,7 @@
 			// Newly listed runners must not delay the load of a model that is in demand.
 			fx.catalog.Lapse(ids[1], time.Now())
 			fx.catalog.Sweep(time.Now())
-			fx.holder.AddDemand(map[dispatch.Want]float64{{Service: "s", Model: "m1"}: 10})
+			fx.holder.AddDemand(map[dispatch.PlacementKey]float64{{Service: "s", Model: "m1"}: 10})
 			time.Sleep(settleTime / 2)
 			loads := 0
 			for _, id := range ids {
@@ -333,7 +333,7 @@
 		fx.holder.runnerClient = count
 		fx.run(1, func() {
 			for range 100 {
-				fx.holder.AddDemand(map[dispatch.Want]float64{{Service: "s", Model: modelName(rnd.IntN(12))}: 40})
+				fx.holder.AddDemand(map[dispatch.PlacementKey]float64{{Service: "s", Model: modelName(rnd.IntN(12))}: 40})
 				time.Sleep(200 * time.Millisecond)
 			}
 		})
@@ -366,7 +366,7 @@
 			const lasts = 3 * time.Second
 			for range lasts / (200 * time.Millisecond) {
 				for i := range 80 {
-					fx.holder.AddDemand(map[dispatch.Want]float64{{Service: "s", Model: modelName(i)}: 1})
+					fx.holder.AddDemand(map[dispatch.PlacementKey]float64{{Service: "s", Model: modelName(i)}: 1})
 				}
 				time.Sleep(200 * time.Millisecond)
 			}
--- a/coordination/placement/models.go
+++ b/coordination/placement/models.go
@@ -32,7 +32,7 @@
 			requests := h.loads.View(rs.runner.ID).Requests
 			s := rs.policyState(requests, h.clock.Now())
 			if h.settingsInForce() != nil {
-				s.Allows = func(model string) bool { return h.allowed(service, model, s.Place) }
+				s.Allows = func(model string) bool { return h.allowed(service, model, s.DataCentre) }
 			}
 			states = append(states, s)
 		}
@@ -76,7 +76,7 @@
 			return map[string]float64{}
 		}
 	}
-	h.priorDemand[service] = policy.Prior(states)
+	h.priorDemand[service] = policy.PriorDemand(states)
 	return h.priorDemand[service]
 }
 
@@ -154,7 +154,7 @@
 		if rs.synced {
 			h.postAfter(h.confirmDelay(rs, m, item), func() { h.confirmModel(rs, m, item) })
 		}
-	case core.OrderUnknown, core.OrderRefused, core.OrderWrongHost:
+	case core.OrderUnknown, core.OrderRefused, core.OrderWrongInstance:
 		// send has marked the state as unknown. The memory counts as occupied until a new report.
 	}
 }
@@ -186,7 +186,7 @@
 	if m.Load {
 		item.phase = present
 		rs.loadedAt[m.Model] = h.clock.Now()
-		h.guard.Worked(core.LoadDigest(rs.runner.Service, m.Model))
+		h.guard.Served(core.LoadDigest(rs.runner.Service, m.Model))
 		h.count("models_loaded")
 		h.broadcast(HoldingUpdate{Runner: rs.runner.ID, Model: m.Model, Held: true})
 		return
--- a/coordination/placement/news.go
+++ b/coordination/placement/news.go
@@ -34,7 +34,7 @@
 
 // HoldingRecorder records which models and adapters the runners hold.
 type HoldingRecorder interface {
-	Learn(runner, model, adapter string, held bool)
+	RecordHolding(runner, model, adapter string, held bool)
 }
 
 // Broadcaster sends the holder's updates to all daemons.
@@ -46,8 +46,8 @@
 	waiting  []HoldingUpdate
 }
 
-// NewSpreader returns a Broadcaster, which also records the updates of other daemons.
-func NewSpreader(p *peers.Peers, recorder HoldingRecorder, clock core.Clock, log *zap.Logger) *Broadcaster {
+// NewBroadcaster returns a Broadcaster, which also records the updates of other daemons.
+func NewBroadcaster(p *peers.Peers, recorder HoldingRecorder, clock core.Clock, log *zap.Logger) *Broadcaster {
 	b := &Broadcaster{peers: p, recorder: recorder, clock: clock}
 	p.Handle(kindUpdate, func(from peers.Peer, body json.RawMessage, _ func(any)) {
 		var list []HoldingUpdate
@@ -56,17 +56,17 @@
 			return
 		}
 		for _, u := range list {
-			recorder.Learn(u.Runner, u.Model, u.Adapter, u.Held)
+			recorder.RecordHolding(u.Runner, u.Model, u.Adapter, u.Held)
 		}
 	})
 	return b
 }
 
-// Tell sends an update to all daemons, including this one. An update about an unload is
+// Broadcast sends an update to all daemons, including this one. An update about an unload is
 // sent immediately, since requests for the model or adapter must stop before the order to
 // unload it is sent. An update about a load waits up to updateDelay for others.
-func (b *Broadcaster) Tell(u HoldingUpdate) {
-	b.recorder.Learn(u.Runner, u.Model, u.Adapter, u.Held)
+func (b *Broadcaster) Broadcast(u HoldingUpdate) {
+	b.recorder.RecordHolding(u.Runner, u.Model, u.Adapter, u.Held)
 	b.mu.Lock()
 	b.waiting = append(b.waiting, u)
 	first := len(b.waiting) == 1
@@ -89,5 +89,5 @@
 	if len(list) == 0 {
 		return
 	}
-	b.peers.TellAll(kindUpdate, list)
+	b.peers.Broadcast(kindUpdate, list)
 }
--- a/coordination/placement/restart_test.go
+++ b/coordination/placement/restart_test.go
@@ -18,7 +18,7 @@
 // Guards against not reloading a model of a runner that has restarted under the same id. The
 // holder used the state and the sequence of the former instance, so that the runner refused
 // every order. The plan must use the report of the new instance.
-func TestRestartedRunnerIsReadAnew(t *testing.T) {
+func TestRestartedRunnerIsSyncedAgain(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		fx := newFixture(t, 2, 2, faults{reportDelay: 200 * time.Millisecond}, 1)
 		fx.run(1, func() {
@@ -40,7 +40,7 @@
 	e.recordState()
 	e.mu.Unlock()
 	r := fx.catalog.Runner(id).Runner
-	r.Born, r.Holdings, r.Sequence = born, nil, 0
+	r.StartedAt, r.Holdings, r.Sequence = born, nil, 0
 	fx.catalog.Put(r, time.Now())
 }
 
@@ -61,7 +61,7 @@
 						fx.restart(id, time.Now())
 						time.Sleep(time.Duration(rnd.IntN(400)) * time.Millisecond)
 					}
-					fx.holder.AddDemand(map[dispatch.Want]float64{{Service: "s", Model: modelName(rnd.IntN(6)), Adapter: "a1"}: 5})
+					fx.holder.AddDemand(map[dispatch.PlacementKey]float64{{Service: "s", Model: modelName(rnd.IntN(6)), Adapter: "a1"}: 5})
 				}
 			})
 		})
@@ -70,7 +70,7 @@
 
 // Tests the same step by step: memory is reserved for an unanswered order to a former instance
 // until the new instance's sequence has passed the expected one or the order has expired.
-func TestRoomForALateOrder(t *testing.T) {
+func TestReservationForALateOrder(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		fx := newFixture(t, 1, 0, faults{}, 1)
 		for i := range 4 {
@@ -107,7 +107,7 @@
 // were accepted, or the order was sent again and this second one was accepted. The new instance
 // counts from 0 and reaches the expected sequence again. Of several such orders for one model,
 // only one can occupy memory.
-func TestRoomForALateOrderThatTheFormerLifeHadPassed(t *testing.T) {
+func TestReservationForALateOrderPassedInAFormerLife(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		fx := newFixture(t, 1, 0, faults{}, 1)
 		for i := range 4 {
@@ -151,7 +151,7 @@
 			first := fx.place("m0", "a1").Runner
 			other := map[string]string{"r0": "r1", "r1": "r0"}[first]
 			before := fx.engines[other].acceptedModelOrders()
-			fx.holder.loads.Refused(first)
+			fx.holder.loads.ConnectionRefused(first)
 			time.Sleep(2 * planInterval)
 			assert.Equal(t, fx.place("m0", "a1").Runner, other)
 			assert.Equal(t, fx.engines[other].acceptedModelOrders(), before, "an order for a model was accepted")
@@ -161,7 +161,7 @@
 
 // Guards against requesting reports from a runner that has exited, and sending it orders,
 // until its entry expires. Each attempt is a connection to a port on which nothing listens.
-func TestNothingIsSentToARunnerThatHasEnded(t *testing.T) {
+func TestNothingIsSentToAnExitedRunner(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		fx := newFixture(t, 2, 2, faults{reportDelay: 200 * time.Millisecond}, 1)
 		exited := &exitedRunner{fakeRunners: fx.engines}
@@ -231,7 +231,7 @@
 			for range fx.spec.Slots {
 				ends = append(ends, fx.holder.loads.Begin(first))
 			}
-			want := dispatch.Want{Service: "s", Model: "m0", Adapter: "a1", Busy: true}
+			want := dispatch.PlacementKey{Service: "s", Model: "m0", Adapter: "a1", Busy: true}
 			place := func() PlaceResult {
 				ch := make(chan PlaceResult, 1)
 				fx.holder.Place(want, func(p PlaceResult) { ch <- p })
--- a/coordination/placement/send.go
+++ b/coordination/placement/send.go
@@ -21,7 +21,7 @@
 			if item := rs.models[o.Model]; item != nil && o.Adapter == "" {
 				item.accepted = true
 			}
-		case core.OrderUnknown, core.OrderConflict, core.OrderRefused, core.OrderWrongHost:
+		case core.OrderUnknown, core.OrderConflict, core.OrderRefused, core.OrderWrongInstance:
 			// The runner's state is unknown until a new report has been applied. Until then
 			// the ordered model or adapter counts as occupying memory.
 			rs.synced = false
--- a/coordination/placement/state.go
+++ b/coordination/placement/state.go
@@ -194,7 +194,7 @@
 			rs.adapters[adapterKey{held.Model, a}] = &placedItem{phase: present, lastUsed: lastUse(previous, adapterKey{held.Model, a}, now)}
 		}
 	}
-	for _, c := range r.Coming {
+	for _, c := range r.LoadingAdapters {
 		if model, adapter, ok := splitAdapterName(c); ok {
 			rs.adapters[adapterKey{model, adapter}] = &placedItem{phase: loading, lastUsed: now}
 		}
@@ -238,7 +238,7 @@
 		}
 	}
 	return &policy.HostState{
-		ID: rs.runner.ID, Place: rs.runner.Place, FreeMB: rs.freeMB(), Models: models, Promised: rs.reservedFor, Local: local,
+		ID: rs.runner.ID, DataCentre: rs.runner.DataCentre, FreeMB: rs.freeMB(), Models: models, Pending: rs.reservedFor, Local: local,
 		Busy: !rs.synced || rs.orderPending || rs.busy(), Leaving: rs.runner.Draining, Down: rs.down, Limited: rs.limited, Requests: requests,
 	}
 }
