--- a/services/fleet/admin.go
+++ b/services/fleet/admin.go
@@ -63,8 +63,8 @@
 // read them from the store.
 type applier struct{ settings *tree.Replica }
 
-// Take implements service.Taker.
-func (a applier) Take(branches []tree.Branch) { a.settings.Apply(branches) }
+// ApplyBranches implements service.Taker.
+func (a applier) ApplyBranches(branches []tree.Branch) { a.settings.Apply(branches) }
 
 // statuses derives the status of the system from the state that the daemons send each other.
 type statuses struct {
@@ -81,7 +81,7 @@
 	alive := s.d.peers.Alive()
 	for _, b := range accepted {
 		for _, p := range alive {
-			if p.Knows.Settings < b.Accepted {
+			if p.LastChanges.Settings < b.Accepted {
 				b.Lagging = append(b.Lagging, p.Name)
 				behind[p.Name]++
 			}
@@ -91,9 +91,9 @@
 		out.Branches = append(out.Branches, b)
 	}
 	for _, p := range alive {
-		m := service.MemberStatus{Name: p.Name, Place: p.Place, State: "live", Reached: true, Behind: behind[p.Name], Fresh: "never", Planner: p.Term > 0, Relay: !p.Failing}
+		m := service.MemberStatus{Name: p.Name, DataCentre: p.DataCentre, State: "live", Reachable: true, Behind: behind[p.Name], SinceConfirmed: "never", Planner: p.Term > 0, Relay: !p.Failing}
 		if p.Confirmed >= 0 {
-			m.Fresh = p.Confirmed.Round(ageResolution).String()
+			m.SinceConfirmed = p.Confirmed.Round(ageResolution).String()
 		}
 		if p.Leaving {
 			m.State = "leaving"
@@ -127,7 +127,7 @@
 
 func (r runners) status(e *catalog.Entry, holder string) service.RunnerStatus {
 	requests := r.d.loads.View(e.ID).Requests
-	out := service.RunnerStatus{Runner: e.ID, Place: e.Place, Owner: holder, Slots: e.Slots, Running: requests, Leaving: e.Draining}
+	out := service.RunnerStatus{Runner: e.ID, DataCentre: e.DataCentre, Owner: holder, Slots: e.Slots, Running: requests, Leaving: e.Draining}
 	config := r.d.catalog.Config()
 	if config == nil || config.Services[e.Service] == nil || config.Services[e.Service].Engine == nil {
 		return out
@@ -135,7 +135,7 @@
 	engine := config.Services[e.Service].Engine
 	out.Capacity = megabytes(engine.MemoryMB)
 	for _, h := range e.Holdings {
-		model := service.HeldStatus{Model: h.Model, Version: strconv.Itoa(h.Version), State: service.StateReady, Age: "-"}
+		model := service.ModelStatus{Model: h.Model, Version: strconv.Itoa(h.Version), State: service.StateReady, Age: "-"}
 		if spec := engine.Model(h.Model); spec != nil {
 			model.Bytes = megabytes(spec.MemoryMB + float64(len(h.Adapters))*spec.AdapterMB)
 		}
@@ -167,7 +167,7 @@
 		if !m.Load {
 			state = service.StateEvicting
 		}
-		out = append(out, service.MoveStatus{Runner: m.Runner, HeldStatus: service.HeldStatus{Model: m.Model, State: state, Age: "-"}})
+		out = append(out, service.MoveStatus{Runner: m.Runner, ModelStatus: service.ModelStatus{Model: m.Model, State: state, Age: "-"}})
 	}
 	return out, nil
 }
--- a/services/fleet/copy.go
+++ b/services/fleet/copy.go
@@ -46,7 +46,7 @@
 				return
 			}
 		}
-		s, err := d.watcher.Copy(r.PathValue("kind"), after)
+		s, err := d.watcher.Snapshot(r.PathValue("kind"), after)
 		if err != nil {
 			http.Error(w, err.Error(), http.StatusServiceUnavailable)
 			return
@@ -56,10 +56,10 @@
 			http.Error(w, err.Error(), http.StatusInternalServerError)
 			return
 		}
-		w.Header().Set(headerHealthy, s.Healthy.String())
+		w.Header().Set(headerHealthy, s.HealthyFor.String())
 		w.Header().Set(headerStale, strconv.FormatBool(s.Stale))
 		if _, err := w.Write(data); err != nil {
-			d.log.Info(logs.CopyNotSent, logs.Err(err))
+			d.log.Info(logs.SnapshotNotSent, logs.Err(err))
 		}
 	})
 	return mux
@@ -67,17 +67,17 @@
 
 // fetchSnapshot returns the snapshot of the named daemon, or of any daemon if the name is
 // empty. It implements watch.Fetch.
-func (d *Daemon) fetchSnapshot(ctx context.Context, kind, name string, after uint64) (watch.Copy, error) {
+func (d *Daemon) fetchSnapshot(ctx context.Context, kind, name string, after uint64) (watch.Snapshot, error) {
 	if name != "" {
 		p, ok := d.peers.Get(name)
 		if !ok {
-			return watch.Copy{}, eris.Wrapf(core.ErrUnavailable, "daemon %s is unreachable", name)
+			return watch.Snapshot{}, eris.Wrapf(core.ErrUnavailable, "daemon %s is unreachable", name)
 		}
 		return d.snapshotOf(ctx, p, kind, after)
 	}
 	p, ok := d.selectPeer()
 	if !ok {
-		return watch.Copy{}, eris.Wrap(core.ErrUnavailable, "no other daemon is ready")
+		return watch.Snapshot{}, eris.Wrap(core.ErrUnavailable, "no other daemon is ready")
 	}
 	return d.snapshotOf(ctx, p, kind, after)
 }
@@ -91,7 +91,7 @@
 		if !p.Failing {
 			r += 2
 		}
-		if p.Place == d.set.Place {
+		if p.DataCentre == d.set.DataCentre {
 			r++
 		}
 		return r
@@ -112,42 +112,42 @@
 }
 
 // snapshotOf requests the snapshot of a daemon.
-func (d *Daemon) snapshotOf(ctx context.Context, p peers.Peer, kind string, after uint64) (watch.Copy, error) {
+func (d *Daemon) snapshotOf(ctx context.Context, p peers.Peer, kind string, after uint64) (watch.Snapshot, error) {
 	ctx, cancel := context.WithTimeout(ctx, snapshotTimeout)
 	defer cancel()
 	query := url.Values{queryAfter: {strconv.FormatUint(after, 10)}}
 	target := url.URL{Scheme: "http", Host: p.Peer.String(), Path: pathSnapshot + kind, RawQuery: query.Encode()}
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, target.String(), nil)
 	if err != nil {
-		return watch.Copy{}, eris.Wrap(err, "copy")
+		return watch.Snapshot{}, eris.Wrap(err, "copy")
 	}
 	resp, err := d.client.Do(req)
 	if err != nil {
-		return watch.Copy{}, eris.Wrapf(core.ErrUnavailable, "snapshot of %s: %v", p.Name, err)
+		return watch.Snapshot{}, eris.Wrapf(core.ErrUnavailable, "snapshot of %s: %v", p.Name, err)
 	}
 	defer resp.Body.Close()
 	if resp.StatusCode != http.StatusOK {
-		return watch.Copy{}, eris.Wrapf(core.ErrUnavailable, "snapshot of %s: status %d", p.Name, resp.StatusCode)
+		return watch.Snapshot{}, eris.Wrapf(core.ErrUnavailable, "snapshot of %s: status %d", p.Name, resp.StatusCode)
 	}
 	s, err := readSnapshot(resp)
 	if err != nil {
-		return watch.Copy{}, eris.Wrapf(core.ErrUnavailable, "snapshot of %s: %v", p.Name, err)
+		return watch.Snapshot{}, eris.Wrapf(core.ErrUnavailable, "snapshot of %s: %v", p.Name, err)
 	}
-	d.log.Info(logs.CopyTaken, zap.String("other", p.Name), zap.String("kind", kind), zap.Uint64("version", s.Version), zap.Uint64("after", s.After), zap.Int("objects", len(s.Objects)))
+	d.log.Info(logs.SnapshotUsed, zap.String("other", p.Name), zap.String("kind", kind), zap.Uint64("version", s.Version), zap.Uint64("after", s.After), zap.Int("objects", len(s.Objects)))
 	return s, nil
 }
 
-func readSnapshot(resp *http.Response) (watch.Copy, error) {
+func readSnapshot(resp *http.Response) (watch.Snapshot, error) {
 	data, err := io.ReadAll(io.LimitReader(resp.Body, maxSnapshot))
 	if err != nil {
-		return watch.Copy{}, err
+		return watch.Snapshot{}, err
 	}
 	s, err := decodeSnapshot(data)
 	if err != nil {
-		return watch.Copy{}, err
+		return watch.Snapshot{}, err
 	}
-	if s.Healthy, err = time.ParseDuration(resp.Header.Get(headerHealthy)); err != nil {
-		return watch.Copy{}, err
+	if s.HealthyFor, err = time.ParseDuration(resp.Header.Get(headerHealthy)); err != nil {
+		return watch.Snapshot{}, err
 	}
 	s.Stale, err = strconv.ParseBool(resp.Header.Get(headerStale))
 	return s, err
--- a/services/fleet/duties.go
+++ b/services/fleet/duties.go
@@ -14,7 +14,7 @@
 // of a processor rank first, because the duties are to watch the store and to plan for all
 // runners. Ties are broken by a hash of the name, because names that sort next to each other
 // belong to the same data centre.
-func (d *Daemon) ranksBefore(p peers.Acquaintance) bool {
+func (d *Daemon) ranksBefore(p peers.PeerStatus) bool {
 	if p.Cores != d.set.Limits.Cores {
 		return p.Cores > d.set.Limits.Cores
 	}
@@ -35,12 +35,12 @@
 	}
 	since := d.clock.Since(d.started)
 	starting := since < d.startWait()
-	if !d.peers.Found() && since < discoveryWait {
+	if !d.peers.Discovered() && since < discoveryWait {
 		return false // there may be other daemons that are not discovered yet
 	}
 	before := 0
 	for _, p := range d.peers.Known() {
-		if large && p.Place != d.set.Place || !d.ranksBefore(p) {
+		if large && p.DataCentre != d.set.DataCentre || !d.ranksBefore(p) {
 			continue
 		}
 		if canReadStore(p, failing) || starting && !p.Alive {
@@ -52,7 +52,7 @@
 
 // canReadStore reports whether another daemon can read the store on behalf of others. If
 // failing is set, daemons for which the store fails are included.
-func canReadStore(p peers.Acquaintance, failing bool) bool {
+func canReadStore(p peers.PeerStatus, failing bool) bool {
 	return p.Alive && p.Ready && !p.Leaving && (failing || !p.Failing)
 }
 
@@ -66,7 +66,7 @@
 	if _, ok := d.selectPeer(); ok {
 		return since > snapshotWait
 	}
-	if !d.peers.Found() {
+	if !d.peers.Discovered() {
 		return since > discoveryWait
 	}
 	if since > d.startWait() {
@@ -74,7 +74,7 @@
 	}
 	large, before := d.peers.Large(), 0
 	for _, p := range d.peers.Known() {
-		if (!large || p.Place == d.set.Place) && d.ranksBefore(p) {
+		if (!large || p.DataCentre == d.set.DataCentre) && d.ranksBefore(p) {
 			before++
 		}
 	}
@@ -117,7 +117,7 @@
 // a change of runners is announced only within the data centre, as each data centre has a
 // daemon that watches the runners.
 func (d *Daemon) storeChanged(kind string) {
-	d.peers.Nudge(kind != platform.KindRunners || !d.peers.Large())
+	d.peers.SendState(kind != platform.KindRunners || !d.peers.Large())
 }
 
 // runnerDown announces to the other daemons at once that a runner refuses connections. In a
@@ -126,6 +126,6 @@
 // datagrams.
 func (d *Daemon) runnerDown() {
 	if !d.peers.Large() {
-		d.peers.Nudge(true)
+		d.peers.SendState(true)
 	}
 }
--- a/services/fleet/fleet.go
+++ b/services/fleet/fleet.go
@@ -151,61 +151,61 @@
 func (d *Daemon) assemble(udp *net.UDPConn) {
 	set := d.set
 	d.store = platform.New(set.PlatformAddr, d.clock,
-		platform.WithRate(set.Limits.Platform, int(set.Limits.Platform)),
+		platform.WithRate(set.Limits.PlatformRate, int(set.Limits.PlatformRate)),
 		platform.WithCount(func(verb string) { d.scope.Tagged(map[string]string{"verb": verb}).Counter("platform_calls").Inc(1) }),
-		platform.WithNameless(func(kind string) {
-			d.log.Error(logs.ObjectNameless, zap.String("kind", kind))
+		platform.WithUnnamed(func(kind string) {
+			d.log.Error(logs.ObjectWithoutName, zap.String("kind", kind))
 			d.scope.Tagged(map[string]string{"kind": kind}).Counter("objects_nameless").Inc(1)
 		}))
 	d.loads = load.New(d.clock)
 	dials := d.scope.Counter("runner_dials")
-	d.runners = runner.New(d.clock, platform.Dialect{}, runner.WithDialed(func() { dials.Inc(1) }), runner.WithCalled(func(id string) { d.limits.Charge(id) }))
-	d.catalog = catalog.New(d.clock, catalog.WithGone(d.runnerGone), catalog.WithRestarted(d.runnerRestarted), catalog.WithConfig(d.newConfig))
+	d.runners = runner.New(d.clock, platform.Dialect{}, runner.WithDialCallback(func() { dials.Inc(1) }), runner.WithCallCallback(func(id string) { d.limits.Charge(id) }))
+	d.catalog = catalog.New(d.clock, catalog.WithGoneCallback(d.runnerGone), catalog.WithRestartCallback(d.runnerRestarted), catalog.WithConfigCallback(d.newConfig))
 	d.watcher = watch.New(d.store, watch.Reader{
 		ConfigKind: platform.KindConfig, ConfigName: platform.NameConfig, RunnerKind: platform.KindRunners,
 		Config: platform.ReadConfig, Runner: platform.ReadRunner,
 	}, d.fetchSnapshot, d.catalog, d.clock, d.log, watch.WithSettings(d.settings),
-		watch.WithActive(d.shouldWatch), watch.WithFirst(d.shouldReadStore), watch.WithChanged(d.storeChanged), watch.WithPause(d.followPause),
+		watch.WithWatchCondition(d.shouldWatch), watch.WithReadStoreCondition(d.shouldReadStore), watch.WithChanged(d.storeChanged), watch.WithFollowPause(d.followPause),
 		watch.WithUnreadable(func() { d.scope.Counter("runner_entries_unreadable").Inc(1) }))
-	d.allowances = allowance.New(d.clock, func() core.Window { return d.current.Load().Quota.Bounds() }, allowance.WithScope(d.scope))
-	d.limits = allowance.NewLimits(d.clock, d.log, allowance.WithLimitsScope(d.scope), allowance.WithTell(d.broadcastLimit))
+	d.allowances = allowance.New(d.clock, func() core.AllowanceWindow { return d.current.Load().Quota.Bounds() }, allowance.WithScope(d.scope))
+	d.limits = allowance.NewLimits(d.clock, d.log, allowance.WithLimitsScope(d.scope), allowance.WithBroadcast(d.broadcastLimit))
 	self := peers.Peer{
-		Name: set.Name, Place: set.Place, Caller: set.CallerAddr, Peer: set.PeerAddr,
+		Name: set.Name, DataCentre: set.DataCentre, Caller: set.CallerAddr, Peer: set.PeerAddr,
 		Boot: uint64(d.clock.Now().UnixNano()), Cores: set.Limits.Cores,
 	}
-	d.peers = peers.New(self, kindDaemons, d.store, udp, d.clock, d.log, d.loads.Own, d.peerUpdate, peers.WithNews(d.groupSummary), peers.WithCount(d.countDatagram),
+	d.peers = peers.New(self, kindDaemons, d.store, udp, d.clock, d.log, d.loads.LocalRequests, d.peerUpdate, peers.WithSummaries(d.groupSummary), peers.WithDatagramCounter(d.countDatagram),
 		peers.WithUsage(d.localUsage, d.peerUsage))
 	d.peers.Handle(kindLimit, d.handleLimit)
-	budget := policy.NewBudget(d.clock, time.Duration(set.Fleet.Window), d.ratio, d.slack)
+	budget := policy.NewBudget(d.clock, time.Duration(set.Fleet.RetryWindow), d.ratio, d.slack)
 	demand := dispatch.NewDemand()
 	d.lease = lease.New(d.store, kindLeases, leaseName, set.Name, time.Duration(set.Fleet.Lease), currentHolder{d}, d.clock, d.log, lease.WithCandidate(d.shouldWatch))
 	d.peers.SetState(d.state)
 	d.peers.Handle(kindYield, d.handleYield)
 	d.quarantine = quarantine.New(d.peers, d.runners, d.clock, d.log, quarantine.WithScope(d.scope),
-		quarantine.WithHeld(func(digest core.Digest) { d.dispatcher.Hold(digest) }), quarantine.WithStore(d.store, d.shouldReadHolds))
+		quarantine.WithOnHold(func(digest core.Digest) { d.dispatcher.CancelHeld(digest) }), quarantine.WithStore(d.store, d.shouldReadHolds))
 	d.holder = placement.New(set.Name, d.catalog, d.loads, d.runners, d.lease, d.clock, d.log,
 		func(name string) { d.scope.Counter("placement_" + name).Inc(1) },
-		placement.NewSpreader(d.peers, d.catalog, d.clock, d.log).Tell, placement.WithGuard(d.quarantine), placement.WithLimited(d.isLimited))
+		placement.NewBroadcaster(d.peers, d.catalog, d.clock, d.log).Broadcast, placement.WithGuard(d.quarantine), placement.WithLimited(d.isLimited))
 	d.holder.SetSettings(d.settings)
 	d.placer = placement.NewClient(d.peers, d.holder, demand, d.clock, d.log)
-	d.dispatcher = dispatch.New(set.Place, d.catalog, d.loads, d.runners, d.placer, budget, demand, d.clock, d.log,
+	d.dispatcher = dispatch.New(set.DataCentre, d.catalog, d.loads, d.runners, d.placer, budget, demand, d.clock, d.log,
 		dispatch.WithScope(d.scope), dispatch.WithGuard(d.quarantine), dispatch.WithAllowance(d.allowances), dispatch.WithLimits(d.limits), dispatch.WithDaemons(d.serving), dispatch.WithDown(d.runnerDown), dispatch.WithSettings(d.settings, d.watcher.SettingsAge, limit.New(d.clock, d.serving, limit.WithShared(d.limits))))
 	d.front = front.New(d.catalog, platform.Dialect{}, d.dispatcher, d.clock, d.log, front.WithScope(d.scope), front.WithSettingsKnown(d.stateKnown), front.WithKeysConfirmed(d.keysConfirmed))
 }
 
 // ratio returns the retry budget as a fraction of requests.
-func (d *Daemon) ratio() float64 { return d.current.Load().Ratio * budgetPercent / 100 }
+func (d *Daemon) ratio() float64 { return d.current.Load().RetryRatio * budgetPercent / 100 }
 
 // slack returns this daemon's part of the retries that all daemons may make in addition
 // to the ratio.
 func (d *Daemon) slack() float64 {
-	return d.current.Load().Slack * budgetPercent / 100 / float64(d.peers.Count())
+	return d.current.Load().RetrySlack * budgetPercent / 100 / float64(d.peers.Count())
 }
 
 // runnerGone discards the state that is kept of a runner that is gone.
 func (d *Daemon) runnerGone(r core.Runner) {
 	d.log.Info(logs.RunnerGone, zap.String("runner", r.ID), zap.String("service", r.Service))
-	d.runners.Forget(r.ID)
+	d.runners.CloseIdle(r.ID)
 	d.loads.Forget(r.ID)
 	d.limits.Forget(r.ID)
 	d.dispatcher.Forget(r.ID)
@@ -215,8 +215,8 @@
 // that is kept of the runner before anything else is sent there, and ends the requests that
 // were sent to the former instance, as it will not answer them.
 func (d *Daemon) runnerRestarted(former core.Runner) {
-	d.log.Info(logs.RunnerRestarted, zap.String("runner", former.ID), zap.String("service", former.Service), zap.Time("former", former.Born))
-	d.runners.Forget(former.ID)
+	d.log.Info(logs.RunnerRestarted, zap.String("runner", former.ID), zap.String("service", former.Service), zap.Time("former", former.StartedAt))
+	d.runners.CloseIdle(former.ID)
 	d.loads.Restarted(former.ID)
 	d.limits.Forget(former.ID)
 	d.dispatcher.Restarted(former.ID)
@@ -225,9 +225,9 @@
 // listen opens the listeners.
 func (d *Daemon) listen() error {
 	dir := &front.Directory{
-		Peers: d.peers, Ready: d.Ready, DataCentre: platform.CallerPlace,
+		Peers: d.peers, Ready: d.Ready, DataCentre: platform.CallerDataCentre,
 		Reply: func(addrs []netip.AddrPort) any {
-			return platform.Addresses(addrs, time.Duration(d.current.Load().Keep))
+			return platform.Addresses(addrs, time.Duration(d.current.Load().AddressTTL))
 		},
 	}
 	resolve := http.NewServeMux()
@@ -267,7 +267,7 @@
 // stateKnown reports whether the configuration, the runners and the operators' settings are
 // known.
 func (d *Daemon) stateKnown() bool {
-	return d.catalog.Config() != nil && d.watcher.KnowsRunners() && d.settings.Tree() != nil
+	return d.catalog.Config() != nil && d.watcher.RunnersListed() && d.settings.Tree() != nil
 }
 
 // keysConfirmed reports whether the known callers' keys may be used now. The configuration
@@ -275,19 +275,19 @@
 // applies to it as well.
 func (d *Daemon) keysConfirmed() bool {
 	keys := d.current.Load().Keys
-	if !keys.Closed {
+	if !keys.FailClosed {
 		return true
 	}
 	age := d.watcher.SettingsAge()
-	return age >= 0 && age <= time.Duration(keys.Confirm)
+	return age >= 0 && age <= time.Duration(keys.MaxUnconfirmed)
 }
 
 // state returns the state that is sent to the other daemons.
 func (d *Daemon) state() peers.State {
 	term, fresh := d.lease.Claim()
 	return peers.State{
-		Ready: d.stateKnown(), Failing: d.watcher.Failing(), Term: term, Fresh: fresh,
-		Knows: d.watcher.Changes(), Down: d.loads.OwnDown(), Confirmed: d.watcher.SettingsAge(),
+		Ready: d.stateKnown(), Failing: d.watcher.Failing(), Term: term, LeaseRenewed: fresh,
+		LastChanges: d.watcher.Changes(), RefusingRunners: d.loads.LocalDown(), Confirmed: d.watcher.SettingsAge(),
 	}
 }
 
@@ -299,7 +299,7 @@
 	for _, p := range c.Problems {
 		d.log.Error(logs.ConfigProblem, zap.Uint64("config", c.Version), zap.String("problem", p))
 	}
-	d.peers.Nudge(true)
+	d.peers.SendState(true)
 }
 
 // Ready reports whether the daemon can serve callers.
@@ -318,29 +318,29 @@
 	d.holder.Start()
 	d.placer.Start()
 	d.quarantine.Start()
-	d.log.Info(logs.Started, zap.String("place", d.set.Place), zap.Stringer("caller", d.set.CallerAddr), zap.String("version", core.Version))
+	d.log.Info(logs.Started, zap.String("place", d.set.DataCentre), zap.Stringer("caller", d.set.CallerAddr), zap.String("version", core.Version))
 }
 
 // peerUpdate applies the state that another daemon sends, or the loads of the other daemons
 // of the data centre.
 func (d *Daemon) peerUpdate(from peers.Peer, counts map[core.Code]int) {
 	if counts != nil {
-		d.loads.Heard(from.Name, counts)
+		d.loads.SetPeerRequests(from.Name, counts)
 	}
-	if from.Name == load.Others {
+	if from.Name == load.DataCentrePeers {
 		return
 	}
-	d.loads.HeardDown(from.Down)
-	d.watcher.Hint(from.Name, from.Place == d.set.Place, from.Knows)
-	d.watcher.Confirm(from.Knows.Settings, from.Confirmed)
+	d.loads.SetPeerDown(from.RefusingRunners)
+	d.watcher.Hint(from.Name, from.DataCentre == d.set.DataCentre, from.LastChanges)
+	d.watcher.Confirm(from.LastChanges.Settings, from.Confirmed)
 }
 
 // groupSummary applies the summary that a hub sends of its group.
-func (d *Daemon) groupSummary(s peers.News) {
-	d.loads.HeardDown(s.Down)
+func (d *Daemon) groupSummary(s peers.Summary) {
+	d.loads.SetPeerDown(s.RefusingRunners)
 	for _, c := range s.Changes {
 		if c.Source != d.set.Name {
-			d.watcher.Hint(c.Source, s.Place == d.set.Place, c.Changes)
+			d.watcher.Hint(c.Source, s.DataCentre == d.set.DataCentre, c.Changes)
 		}
 	}
 	d.watcher.Confirm(s.Settings, s.Confirmed)
@@ -359,7 +359,7 @@
 // daemon's name and of its data centre need a restart.
 func (d *Daemon) Reload(set *setting.Setting) {
 	old := d.current.Load()
-	if set.Fleet == nil || set.Name != d.set.Name || set.Place != d.set.Place || set.CallerAddr != d.set.CallerAddr ||
+	if set.Fleet == nil || set.Name != d.set.Name || set.DataCentre != d.set.DataCentre || set.CallerAddr != d.set.CallerAddr ||
 		set.PeerAddr != d.set.PeerAddr || set.PlatformAddr != d.set.PlatformAddr || set.FleetAddrs != d.set.FleetAddrs {
 		d.log.Warn(logs.NotReloaded, zap.String("reason", "names or addresses have changed, which needs a restart"))
 		return
@@ -389,7 +389,7 @@
 	left := start.Add(time.Duration(d.current.Load().Grace) - closeMargin).Sub(d.clock.Now())
 	drain, cancel := context.WithTimeout(ctx, left)
 	if err := d.servers[0].Shutdown(drain); err != nil {
-		d.log.Warn(logs.CutAtEnd, zap.Int("running", d.dispatcher.Running()), logs.Err(err))
+		d.log.Warn(logs.RequestsCancelled, zap.Int("running", d.dispatcher.Running()), logs.Err(err))
 	}
 	cancel()
 	d.log.Info(logs.Stopped, zap.Duration("took", d.clock.Since(start)))
--- a/services/fleet/limits.go
+++ b/services/fleet/limits.go
@@ -16,16 +16,16 @@
 const kindLimit = "limit"
 
 // broadcastLimit sends a runner's limit to all daemons.
-func (d *Daemon) broadcastLimit(u allowance.Word) { d.peers.TellAll(kindLimit, u) }
+func (d *Daemon) broadcastLimit(u allowance.LimitUpdate) { d.peers.Broadcast(kindLimit, u) }
 
 // handleLimit applies the limit of a runner that another daemon has broadcast.
 func (d *Daemon) handleLimit(from peers.Peer, body json.RawMessage, _ func(any)) {
-	var u allowance.Word
+	var u allowance.LimitUpdate
 	if err := json.Unmarshal(body, &u); err != nil {
 		d.log.Warn(logs.MessageUnreadable, zap.String("other", from.Name), logs.Err(err))
 		return
 	}
-	d.limits.Told(from.Name, u)
+	d.limits.ApplyUpdate(from.Name, u)
 }
 
 // localUsage returns how much this daemon uses of the allowances and limits that all daemons
@@ -40,8 +40,8 @@
 // reachable daemons, including this one, and known the number that there may be, or 0 while
 // that is not known.
 func (d *Daemon) peerUsage(reachable, known int, others map[core.Code]core.Usage) {
-	d.allowances.Heard(reachable, known, others)
-	d.limits.Heard(reachable, known, others)
+	d.allowances.UpdatePeers(reachable, known, others)
+	d.limits.UpdatePeers(reachable, known, others)
 }
 
 // isLimited reports whether a runner declares a limit.
--- a/services/fleet/packed.go
+++ b/services/fleet/packed.go
@@ -32,12 +32,12 @@
 
 // get returns the encoded form of a snapshot. Daemons that request the same snapshot at the
 // same time wait for a single compression.
-func (c *snapshotCache) get(kind string, after uint64, s watch.Copy) ([]byte, error) {
+func (c *snapshotCache) get(kind string, after uint64, s watch.Snapshot) ([]byte, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	key := snapshotKey{kind, after, s.Version}
 	// These values differ from request to request, and are sent as headers.
-	s.Healthy, s.Stale = 0, false
+	s.HealthyFor, s.Stale = 0, false
 	if data, ok := c.data[key]; ok {
 		return data, nil
 	}
@@ -60,8 +60,8 @@
 }
 
 // decodeSnapshot decodes a snapshot that get has encoded.
-func decodeSnapshot(data []byte) (watch.Copy, error) {
-	var s watch.Copy
+func decodeSnapshot(data []byte) (watch.Snapshot, error) {
+	var s watch.Snapshot
 	zip, err := gzip.NewReader(bytes.NewReader(data))
 	if err != nil {
 		return s, err
--- a/services/fleet/packed_test.go
+++ b/services/fleet/packed_test.go
@@ -32,15 +32,15 @@
 // Uncompressed, it saturates the small link of the sending daemon: the streams of its callers
 // stall for seconds, and runners continue with requests whose callers have disconnected. The
 // snapshot must be sent compressed, and must be compressed only once.
-func TestCopiesAreCompressedOnce(t *testing.T) {
-	s := watch.Copy{Version: 9, Change: 9, Objects: []core.Object{bigConfig(t, 1200)}}
+func TestSnapshotsAreCompressedOnce(t *testing.T) {
+	s := watch.Snapshot{Version: 9, LastChange: 9, Objects: []core.Object{bigConfig(t, 1200)}}
 	plain, err := json.Marshal(s)
 	assert.NilError(t, err)
 	c := &snapshotCache{}
 	first, err := c.get(platform.KindConfig, 3, s)
 	assert.NilError(t, err)
 	assert.Assert(t, len(first)*8 < len(plain), "%d of %d bytes", len(first), len(plain))
-	s.Healthy = time.Minute
+	s.HealthyFor = time.Minute
 	again, err := c.get(platform.KindConfig, 3, s)
 	assert.NilError(t, err)
 	assert.Assert(t, &first[0] == &again[0], "compressed again")
@@ -53,14 +53,14 @@
 	assert.NilError(t, err)
 	assert.Assert(t, &next[0] != &first[0], "an older version was returned")
 	for i := range 3 * maxCachedSnapshots {
-		_, err := c.get("other", uint64(i), watch.Copy{Version: 1})
+		_, err := c.get("other", uint64(i), watch.Snapshot{Version: 1})
 		assert.NilError(t, err)
 	}
 	assert.Assert(t, len(c.data) <= maxCachedSnapshots)
 }
 
 func BenchmarkSnapshotEncoding(b *testing.B) {
-	s := watch.Copy{Version: 9, Objects: []core.Object{bigConfig(b, 1200)}}
+	s := watch.Snapshot{Version: 9, Objects: []core.Object{bigConfig(b, 1200)}}
 	b.ReportAllocs()
 	for b.Loop() {
 		if _, err := (&snapshotCache{}).get(platform.KindConfig, 3, s); err != nil {
--- a/services/fleet/yield.go
+++ b/services/fleet/yield.go
@@ -41,17 +41,17 @@
 }
 
 // currentHolder is the holder of the lease as this daemon sees it. It implements
-// lease.Rival.
+// lease.CurrentHolder.
 type currentHolder struct{ d *Daemon }
 
-// Fresh implements lease.Rival.
-func (h currentHolder) Fresh() bool {
+// RenewedRecently implements lease.CurrentHolder.
+func (h currentHolder) RenewedRecently() bool {
 	p, ok := h.d.peers.Holder()
-	return ok && p.Fresh && p.Name != h.d.set.Name
+	return ok && p.LeaseRenewed && p.Name != h.d.set.Name
 }
 
-// AskYield implements lease.Rival.
-func (h currentHolder) AskYield(ctx context.Context, term uint64) (time.Duration, bool) {
+// RequestYield implements lease.CurrentHolder.
+func (h currentHolder) RequestYield(ctx context.Context, term uint64) (time.Duration, bool) {
 	p, ok := h.d.peers.Holder()
 	if !ok || p.Term != term || p.Name == h.d.set.Name {
 		return 0, false
@@ -59,8 +59,8 @@
 	ctx, cancel := context.WithTimeout(ctx, yieldTimeout)
 	defer cancel()
 	var got yieldReply
-	if err := h.d.peers.Ask(ctx, p, kindYield, yieldRequest{Term: term}, &got, yieldResend); err != nil {
-		h.d.log.Info(logs.HolderSilent, zap.String("holder", p.Name), logs.Err(err))
+	if err := h.d.peers.Request(ctx, p, kindYield, yieldRequest{Term: term}, &got, yieldResend); err != nil {
+		h.d.log.Info(logs.HolderUnresponsive, zap.String("holder", p.Name), logs.Err(err))
 		return 0, false
 	}
 	return got.Idle, got.Yielded
--- a/services/holds/holds.go
+++ b/services/holds/holds.go
@@ -18,15 +18,15 @@
 
 // Status is a request that is or was on hold. Only a digest of the request itself is stored.
 type Status struct {
-	Digest  core.Digest `json:"digest"`
-	State   hold.State  `json:"state"`
-	By      hold.By     `json:"by,omitempty"` // what released it
-	Route   string      `json:"route"`
-	Service string      `json:"service"`
-	Runners int         `json:"runners"` // number of runners that exited under it
-	Since   time.Time   `json:"since"`
-	Left    string      `json:"left"`  // time until a trial is allowed
-	Times   int         `json:"times"` // number of times that it was put on hold
+	Digest    core.Digest        `json:"digest"`
+	State     hold.State         `json:"state"`
+	By        hold.ReleaseReason `json:"by,omitempty"` // what released it
+	Route     string             `json:"route"`
+	Service   string             `json:"service"`
+	Runners   int                `json:"runners"` // number of runners that exited under it
+	Since     time.Time          `json:"since"`
+	Remaining string             `json:"left"`  // time until a trial is allowed
+	HoldCount int                `json:"times"` // number of times that it was put on hold
 }
 
 // List returns the status of the records, the most recent first.
@@ -36,7 +36,7 @@
 		r := &records[i]
 		out = append(out, Status{
 			Digest: r.Digest, State: r.State, By: r.By, Route: r.Route, Service: r.Service, Runners: r.Runners,
-			Since: r.Since, Left: r.Left(now).Round(timeResolution).String(), Times: r.Level + 1,
+			Since: r.Since, Remaining: r.Remaining(now).Round(timeResolution).String(), HoldCount: r.Level + 1,
 		})
 	}
 	sort.Slice(out, func(i, j int) bool { return out[i].Since.After(out[j].Since) })
@@ -97,7 +97,7 @@
 	now := s.clock.Now()
 	var records []hold.Record
 	for _, o := range objects {
-		if r, err := hold.Stored(o.Body, now); err == nil {
+		if r, err := hold.DecodeStored(o.Body, now); err == nil {
 			records = append(records, *r)
 		}
 	}
@@ -112,7 +112,7 @@
 		return eris.Wrap(err, "hold")
 	}
 	now := s.clock.Now()
-	r, err := hold.Stored(o.Body, now)
+	r, err := hold.DecodeStored(o.Body, now)
 	if err != nil {
 		return err
 	}
--- a/services/tree/fleet.go
+++ b/services/tree/fleet.go
@@ -16,24 +16,24 @@
 
 // RunnerStatus is the memory and the load of a runner.
 type RunnerStatus struct {
-	Runner      string       `json:"runner"`
-	Place       string       `json:"place"`
-	Owner       string       `json:"owner"`
-	Capacity    int64        `json:"capacity"` // bytes of memory for models; the next four are in bytes too
-	Committed   int64        `json:"committed"`
-	Reserved    int64        `json:"reserved"`    // part of Committed for loads in progress
-	Quarantined int64        `json:"quarantined"` // part of Committed kept until no late order can arrive
-	Free        int64        `json:"free"`
-	Running     int          `json:"running"`
-	Queued      int          `json:"queued"`
-	Slots       int          `json:"slots"`
-	Leaving     bool         `json:"leaving,omitempty"`
-	Unreachable bool         `json:"unreachable,omitempty"`
-	Models      []HeldStatus `json:"models,omitempty"`
+	Runner      string        `json:"runner"`
+	DataCentre  string        `json:"place"`
+	Owner       string        `json:"owner"`
+	Capacity    int64         `json:"capacity"` // bytes of memory for models; the next four are in bytes too
+	Committed   int64         `json:"committed"`
+	Reserved    int64         `json:"reserved"`    // part of Committed for loads in progress
+	Quarantined int64         `json:"quarantined"` // part of Committed kept until no late order can arrive
+	Free        int64         `json:"free"`
+	Running     int           `json:"running"`
+	Queued      int           `json:"queued"`
+	Slots       int           `json:"slots"`
+	Leaving     bool          `json:"leaving,omitempty"`
+	Unreachable bool          `json:"unreachable,omitempty"`
+	Models      []ModelStatus `json:"models,omitempty"`
 }
 
-// HeldStatus is a model version on a runner.
-type HeldStatus struct {
+// ModelStatus is a model version on a runner.
+type ModelStatus struct {
 	Model   string `json:"model"`
 	Version string `json:"version"`
 	Bytes   int64  `json:"bytes"`
@@ -52,7 +52,7 @@
 // MoveStatus is a load or an eviction in progress.
 type MoveStatus struct {
 	Runner string `json:"runner"`
-	HeldStatus
+	ModelStatus
 }
 
 // Fleet collects the runners from the daemons that own them.
@@ -95,7 +95,7 @@
 
 func runnerStatus(owner string, v *peerv1.View) RunnerStatus {
 	r := RunnerStatus{
-		Runner: v.Runner, Place: v.Place, Owner: owner, Capacity: v.Capacity,
+		Runner: v.Runner, DataCentre: v.Place, Owner: owner, Capacity: v.Capacity,
 		Running: int(v.Running), Queued: int(v.Queued), Slots: int(v.Slots),
 		Leaving: v.Leaving, Unreachable: v.Unreachable,
 	}
@@ -108,7 +108,7 @@
 			r.Quarantined += h.Bytes
 		}
 		age := (time.Duration(h.Age) * time.Millisecond).Round(time.Second)
-		r.Models = append(r.Models, HeldStatus{Model: h.Model, Version: h.Version, Bytes: h.Bytes, State: h.State, Reason: h.Reason, Age: age.String()})
+		r.Models = append(r.Models, ModelStatus{Model: h.Model, Version: h.Version, Bytes: h.Bytes, State: h.State, Reason: h.Reason, Age: age.String()})
 	}
 	r.Free = r.Capacity - r.Committed
 	return r
@@ -120,7 +120,7 @@
 	for _, r := range f.Runners(ctx) {
 		for _, h := range r.Models {
 			if ledger.State(h.State) != ledger.Ready {
-				out = append(out, MoveStatus{Runner: r.Runner, HeldStatus: h})
+				out = append(out, MoveStatus{Runner: r.Runner, ModelStatus: h})
 			}
 		}
 	}
--- a/services/tree/status.go
+++ b/services/tree/status.go
@@ -32,19 +32,19 @@
 
 // MemberStatus is the state of a daemon.
 type MemberStatus struct {
-	Name     string   `json:"name"`
-	Place    string   `json:"place"`
-	State    string   `json:"state"`
-	Reached  bool     `json:"reached"`
-	Behind   int      `json:"behind"` // number of branches that are not yet in force there
-	Fresh    string   `json:"fresh"`  // time since its settings were last confirmed
-	Running  int      `json:"running"`
-	Queued   int      `json:"queued"`
-	Held     int64    `json:"held"`
-	Runners  []string `json:"runners,omitempty"`
-	Relay    bool     `json:"relay,omitempty"`
-	Planner  bool     `json:"planner,omitempty"`
-	Problems []string `json:"problems,omitempty"`
+	Name           string   `json:"name"`
+	DataCentre     string   `json:"place"`
+	State          string   `json:"state"`
+	Reachable      bool     `json:"reached"`
+	Behind         int      `json:"behind"` // number of branches that are not yet in force there
+	SinceConfirmed string   `json:"fresh"`  // time since its settings were last confirmed
+	Running        int      `json:"running"`
+	Queued         int      `json:"queued"`
+	StoredBytes    int64    `json:"held"`
+	Runners        []string `json:"runners,omitempty"`
+	Relay          bool     `json:"relay,omitempty"`
+	Planner        bool     `json:"planner,omitempty"`
+	Problems       []string `json:"problems,omitempty"`
 	// Versions holds the version of each branch that the daemon has.
 	Versions map[string]uint64 `json:"versions,omitempty"`
 }
@@ -181,19 +181,19 @@
 }
 
 func memberStatus(m core.Member, r *peerv1.MemberStatus, behind int) MemberStatus {
-	out := MemberStatus{Name: m.Name, Place: m.Place, State: m.State.String(), Behind: behind}
+	out := MemberStatus{Name: m.Name, DataCentre: m.DataCentre, State: m.State.String(), Behind: behind}
 	if r == nil {
 		return out
 	}
 	if self, err := member.FromWire(r.Member); err == nil {
 		out.State = self.State.String()
 	}
-	out.Reached = true
-	out.Fresh = "never"
+	out.Reachable = true
+	out.SinceConfirmed = "never"
 	if r.Fresh >= 0 {
-		out.Fresh = (time.Duration(r.Fresh) * time.Millisecond).Round(100 * time.Millisecond).String()
+		out.SinceConfirmed = (time.Duration(r.Fresh) * time.Millisecond).Round(100 * time.Millisecond).String()
 	}
-	out.Running, out.Queued, out.Held = int(r.Running), int(r.Queued), r.Held
+	out.Running, out.Queued, out.StoredBytes = int(r.Running), int(r.Queued), r.Held
 	out.Runners, out.Relay, out.Planner, out.Problems = r.Runners, r.Relay, r.Planner, r.Problems
 	sort.Strings(out.Runners)
 	out.Versions = make(map[string]uint64, len(r.Versions))
--- a/services/tree/tree.go
+++ b/services/tree/tree.go
@@ -19,14 +19,14 @@
 type Service struct {
 	replica  *tree.Replica
 	platform core.Platform
-	taker    Taker
+	taker    BranchApplier
 	clock    core.Clock
 	offered  func(kind, name string) bool
 }
 
-// Taker applies the branches that an edit has written.
-type Taker interface {
-	Take([]tree.Branch)
+// BranchApplier applies the branches that an edit has written.
+type BranchApplier interface {
+	ApplyBranches([]tree.Branch)
 }
 
 // Option configures a Service.
@@ -39,7 +39,7 @@
 }
 
 // New returns a Service.
-func New(replica *tree.Replica, platform core.Platform, taker Taker, clock core.Clock, opts ...Option) *Service {
+func New(replica *tree.Replica, platform core.Platform, taker BranchApplier, clock core.Clock, opts ...Option) *Service {
 	s := &Service{replica: replica, platform: platform, taker: taker, clock: clock, offered: func(string, string) bool { return false }}
 	for _, o := range opts {
 		o(s)
@@ -47,8 +47,8 @@
 	return s
 }
 
-// Got is a node of the tree as it was read or written.
-type Got struct {
+// NodeState is a node of the tree as it was read or written.
+type NodeState struct {
 	Path    string      `json:"path"`
 	Branch  string      `json:"branch"`
 	Version uint64      `json:"version"`
@@ -71,13 +71,13 @@
 	Note    string
 }
 
-// Lost is the error of an edit whose version was not the newest. It contains what the competing
+// ConflictError is the error of an edit whose version was not the newest. It contains what the competing
 // edit has written. It matches core.ErrConflict.
-type Lost struct {
-	Winner Got
+type ConflictError struct {
+	Winner NodeState
 }
 
-func (l *Lost) Error() string {
+func (l *ConflictError) Error() string {
 	by := "someone"
 	if len(l.Winner.Log) > 0 {
 		by = l.Winner.Log[0].By + " at " + l.Winner.Log[0].Path
@@ -86,7 +86,7 @@
 }
 
 // Is makes errors.Is(l, core.ErrConflict) true.
-func (l *Lost) Is(target error) bool { return target == core.ErrConflict }
+func (l *ConflictError) Is(target error) bool { return target == core.ErrConflict }
 
 func parsePath(path string) (tree.Path, error) {
 	p, ok := tree.ParsePath(path)
@@ -97,17 +97,17 @@
 }
 
 // Get reads a node from the platform or, while the platform is unavailable, from memory.
-func (s *Service) Get(ctx context.Context, path string) (Got, error) {
+func (s *Service) Get(ctx context.Context, path string) (NodeState, error) {
 	p, err := parsePath(path)
 	if err != nil {
-		return Got{}, err
+		return NodeState{}, err
 	}
 	got, stored, err := s.read(ctx, p)
 	if errors.Is(err, core.ErrUnavailable) {
 		return s.getLocal(p)
 	}
 	if err != nil {
-		return Got{}, err
+		return NodeState{}, err
 	}
 	if got.Node = find(stored.Node, p); got.Node == nil {
 		return got, core.ErrNotFound
@@ -116,9 +116,9 @@
 }
 
 // getLocal reads a node from this daemon's replica of the tree.
-func (s *Service) getLocal(p tree.Path) (Got, error) {
+func (s *Service) getLocal(p tree.Path) (NodeState, error) {
 	branch := p.Branch()
-	got := Got{Path: p.String(), Branch: branch, Version: s.replica.Versions()[branch], Log: s.replica.Log(branch), Stale: true}
+	got := NodeState{Path: p.String(), Branch: branch, Version: s.replica.Versions()[branch], Log: s.replica.Log(branch), Stale: true}
 	if got.Node = find(s.replica.Nodes()[branch], p); got.Node == nil {
 		return got, core.ErrNotFound
 	}
@@ -133,8 +133,8 @@
 	return branch.Find(p[1:])
 }
 
-func (s *Service) read(ctx context.Context, p tree.Path) (Got, *tree.Stored, error) {
-	got := Got{Path: p.String(), Branch: p.Branch()}
+func (s *Service) read(ctx context.Context, p tree.Path) (NodeState, *tree.BranchBody, error) {
+	got := NodeState{Path: p.String(), Branch: p.Branch()}
 	o, err := s.platform.Get(ctx, core.KindTree, tree.ObjectName(got.Branch))
 	if err != nil {
 		return got, nil, err
@@ -149,46 +149,46 @@
 }
 
 // Set makes an edit and returns the branch's new version.
-func (s *Service) Set(ctx context.Context, e Edit) (Got, error) {
+func (s *Service) Set(ctx context.Context, e Edit) (NodeState, error) {
 	p, err := parsePath(e.Path)
 	if err != nil {
-		return Got{}, err
+		return NodeState{}, err
 	}
 	o, stored, err := s.readForEdit(ctx, p)
 	if err != nil {
-		return Got{}, err
+		return NodeState{}, err
 	}
 	if o.Version != e.Version {
-		return Got{}, s.conflict(p, o, stored)
+		return NodeState{}, s.conflict(p, o, stored)
 	}
 	next, err := s.apply(p, stored, e)
 	if err != nil {
-		return Got{}, err
+		return NodeState{}, err
 	}
 	return s.write(ctx, p, o, next)
 }
 
 // readForEdit reads a branch as it is stored. It returns an empty branch if the stored one is
 // missing or cannot be read by this version of the daemon.
-func (s *Service) readForEdit(ctx context.Context, p tree.Path) (core.Object, *tree.Stored, error) {
+func (s *Service) readForEdit(ctx context.Context, p tree.Path) (core.Object, *tree.BranchBody, error) {
 	name := tree.ObjectName(p.Branch())
 	o, err := s.platform.Get(ctx, core.KindTree, name)
 	if errors.Is(err, core.ErrNotFound) {
-		return core.Object{Kind: core.KindTree, Name: name}, &tree.Stored{}, nil
+		return core.Object{Kind: core.KindTree, Name: name}, &tree.BranchBody{}, nil
 	}
 	if err != nil {
 		return o, nil, err
 	}
 	stored, err := tree.ParseBranch(o.Body)
 	if err != nil {
-		return o, &tree.Stored{}, nil
+		return o, &tree.BranchBody{}, nil
 	}
 	return o, stored, nil
 }
 
 // apply applies an edit to a branch, and refuses it if it introduces problems into the tree.
 // Problems that existed before do not prevent an edit elsewhere.
-func (s *Service) apply(p tree.Path, stored *tree.Stored, e Edit) (*tree.Stored, error) {
+func (s *Service) apply(p tree.Path, stored *tree.BranchBody, e Edit) (*tree.BranchBody, error) {
 	node, err := replace(stored.Node, p, e.Node)
 	if err != nil {
 		return nil, err
@@ -203,7 +203,7 @@
 	if added := newProblems(before, tree.Check(nodes, tree.WithOffered(s.offered))); len(added) > 0 {
 		return nil, added
 	}
-	next := &tree.Stored{Node: node, Log: stored.Log}
+	next := &tree.BranchBody{Node: node, Log: stored.Log}
 	next.Add(tree.Edit{At: s.clock.Now().UTC(), By: e.By, Path: p.String(), Note: e.Note})
 	return next, nil
 }
@@ -248,10 +248,10 @@
 	return &top, nil
 }
 
-func (s *Service) write(ctx context.Context, p tree.Path, o core.Object, next *tree.Stored) (Got, error) {
+func (s *Service) write(ctx context.Context, p tree.Path, o core.Object, next *tree.BranchBody) (NodeState, error) {
 	body, err := json.Marshal(next)
 	if err != nil {
-		return Got{}, eris.Wrap(core.ErrInvalid, err.Error())
+		return NodeState{}, eris.Wrap(core.ErrInvalid, err.Error())
 	}
 	o.Body = body
 	var written core.Object
@@ -261,34 +261,34 @@
 		written, err = s.platform.Update(ctx, o)
 	}
 	switch {
-	case errors.Is(err, core.ErrOvertaken):
+	case errors.Is(err, core.ErrOverwritten):
 		// The edit was written and then overwritten by a later edit, which is the one that counts.
 	case errors.Is(err, core.ErrConflict), errors.Is(err, core.ErrExists):
 		newest, stored, readErr := s.readForEdit(ctx, p)
 		if readErr != nil {
-			return Got{}, err
+			return NodeState{}, err
 		}
-		return Got{}, s.conflict(p, newest, stored)
+		return NodeState{}, s.conflict(p, newest, stored)
 	case err != nil:
-		return Got{}, err
+		return NodeState{}, err
 	}
-	s.taker.Take([]tree.Branch{{Name: p.Branch(), Version: written.Version, Body: written.Body}})
-	return Got{Path: p.String(), Branch: p.Branch(), Version: written.Version, Node: find(next.Node, p), Log: next.Log}, nil
+	s.taker.ApplyBranches([]tree.Branch{{Name: p.Branch(), Version: written.Version, Body: written.Body}})
+	return NodeState{Path: p.String(), Branch: p.Branch(), Version: written.Version, Node: find(next.Node, p), Log: next.Log}, nil
 }
 
-func (s *Service) conflict(p tree.Path, o core.Object, stored *tree.Stored) error {
-	return &Lost{Winner: Got{Path: p.String(), Branch: p.Branch(), Version: o.Version, Node: find(stored.Node, p), Log: stored.Log}}
+func (s *Service) conflict(p tree.Path, o core.Object, stored *tree.BranchBody) error {
+	return &ConflictError{Winner: NodeState{Path: p.String(), Branch: p.Branch(), Version: o.Version, Node: find(stored.Node, p), Log: stored.Log}}
 }
 
 // Apply writes a whole tree, branch by branch, starting with the root. Branches that equal the
 // stored ones are not written.
-func (s *Service) Apply(ctx context.Context, root *tree.Node, by string) ([]Got, error) {
+func (s *Service) Apply(ctx context.Context, root *tree.Node, by string) ([]NodeState, error) {
 	branches := tree.Split(root)
 	if problems := tree.Check(branches, tree.WithOffered(s.offered)); len(problems) > 0 {
 		return nil, problems
 	}
-	var out []Got
-	for _, name := range tree.Order(branches) {
+	var out []NodeState
+	for _, name := range tree.WriteOrder(branches) {
 		got, err := s.applyBranch(ctx, name, branches[name], by)
 		if err != nil {
 			return out, eris.Wrapf(err, "branch %s (%d branches were written before)", name, len(out))
@@ -300,65 +300,65 @@
 	return out, nil
 }
 
-func (s *Service) applyBranch(ctx context.Context, name string, node *tree.Node, by string) (Got, error) {
+func (s *Service) applyBranch(ctx context.Context, name string, node *tree.Node, by string) (NodeState, error) {
 	p, err := parsePath(name)
 	if err != nil {
-		return Got{}, err
+		return NodeState{}, err
 	}
 	o, stored, err := s.readForEdit(ctx, p)
 	if err != nil {
-		return Got{}, err
+		return NodeState{}, err
 	}
 	old, _ := json.Marshal(stored.Node)
 	wanted, _ := json.Marshal(node)
 	if o.Version > 0 && string(old) == string(wanted) {
-		return Got{}, nil
+		return NodeState{}, nil
 	}
-	next := &tree.Stored{Node: node, Log: stored.Log}
+	next := &tree.BranchBody{Node: node, Log: stored.Log}
 	next.Add(tree.Edit{At: s.clock.Now().UTC(), By: by, Path: p.String(), Note: "whole tree"})
 	return s.write(ctx, p, o, next)
 }
 
-// Explained holds the settings in force for a selector, at one daemon.
-type Explained struct {
-	Service string            `json:"service,omitempty"`
-	Model   string            `json:"model,omitempty"`
-	Place   string            `json:"place,omitempty"`
-	Allowed bool              `json:"allowed"`
-	Values  map[string]any    `json:"values"`
-	Origin  map[string]string `json:"origin"` // field to path of the node that sets it; missing: default
+// Explanation holds the settings in force for a selector, at one daemon.
+type Explanation struct {
+	Service    string            `json:"service,omitempty"`
+	Model      string            `json:"model,omitempty"`
+	DataCentre string            `json:"place,omitempty"`
+	Allowed    bool              `json:"allowed"`
+	Values     map[string]any    `json:"values"`
+	Origin     map[string]string `json:"origin"` // field to path of the node that sets it; missing: default
 }
 
 // Explain returns the settings in force for a selector, and for each the node that sets it.
-func (s *Service) Explain(c tree.Coord) (Explained, error) {
+func (s *Service) Explain(c tree.Selector) (Explanation, error) {
 	t := s.replica.Tree()
 	if t == nil {
-		return Explained{}, core.ErrUnavailable
+		return Explanation{}, core.ErrUnavailable
 	}
 	if c.Model != "" {
 		if _, ok := t.Model(c.Model); !ok && !s.offered(tree.ElemModel, c.Model) {
-			return Explained{}, eris.Wrapf(core.ErrNotFound, "model %q", c.Model)
+			return Explanation{}, eris.Wrapf(core.ErrNotFound, "model %q", c.Model)
 		}
 		if c.Service == "" {
 			c.Service = t.ServiceOf(c.Model)
 		}
 	}
 	if _, ok := t.Service(c.Service); !ok && c.Service != "" && !s.offered(tree.ElemService, c.Service) {
-		return Explained{}, eris.Wrapf(core.ErrNotFound, "service %q", c.Service)
+		return Explanation{}, eris.Wrapf(core.ErrNotFound, "service %q", c.Service)
 	}
 	e := t.Effective(c)
-	out := Explained{Service: c.Service, Model: c.Model, Place: c.Place, Allowed: c.Place == "" || e.Allows(c.Place), Origin: e.Origin}
+	out := Explanation{Service: c.Service, Model: c.Model, DataCentre: c.DataCentre, Allowed: c.DataCentre == "" || e.Allows(c.DataCentre), Origin: e.Origin}
 	out.Values = map[string]any{
 		"places":      dataCentresOf(e),
 		"concurrency": e.Concurrency,
 		"rate":        e.Rate,
 		"body":        core.Bytes(e.Body),
 		"deadline":    e.Deadline.String(),
-		"stall":       e.Stall.String(),
+		"stall":       e.StallTimeout.String(),
 		"class":       e.Class,
-		"repeat":      e.Repeat,
-		"fresh":       e.Fresh.String(),
-		"moves":       e.Moves,
+		"repeat":      e.Repeatable,
+		"fresh":       e.MaxUnconfirmed.String(),
+		"moves":       e.MoveCost,
 		"attainment":  e.Attainment,
 	}
 	for _, class := range core.Classes {
@@ -368,8 +368,8 @@
 }
 
 func dataCentresOf(e *tree.Effective) any {
-	if e.AnyPlace {
+	if e.AnyDataCentre {
 		return "any"
 	}
-	return e.Places
+	return e.DataCentres
 }
--- a/services/workspaces/workspaces.go
+++ b/services/workspaces/workspaces.go
@@ -17,18 +17,18 @@
 // Status is the state of a workspace. Rates are in units per second, over all reachable
 // daemons.
 type Status struct {
-	Name    string   `json:"name"`
-	Unit    string   `json:"unit"`
-	Rate    float64  `json:"rate"` // 0: no limit
-	Burst   float64  `json:"burst"`
-	Keys    []string `json:"keys"`    // short hashes of the keys
-	Asked   float64  `json:"asked"`   // demand
-	Spent   float64  `json:"spent"`   // accepted
-	Left    float64  `json:"left"`    // units that may be accepted at once
-	Share   float64  `json:"share"`   // share of the allowance that the reachable daemons have
-	Refused int64    `json:"refused"` // requests that this daemon has refused since it started
-	Age     string   `json:"age"`     // time since the other daemons last sent their usage
-	Problem bool     `json:"problem"` // its allowance could not be read: all requests are refused
+	Name      string   `json:"name"`
+	Unit      string   `json:"unit"`
+	Rate      float64  `json:"rate"` // 0: no limit
+	Burst     float64  `json:"burst"`
+	Keys      []string `json:"keys"`    // short hashes of the keys
+	Demand    float64  `json:"asked"`   // demand
+	Accepted  float64  `json:"spent"`   // accepted
+	Available float64  `json:"left"`    // units that may be accepted at once
+	Share     float64  `json:"share"`   // share of the allowance that the reachable daemons have
+	Refused   int64    `json:"refused"` // requests that this daemon has refused since it started
+	UsageAge  string   `json:"age"`     // time since the other daemons last sent their usage
+	Problem   bool     `json:"problem"` // its allowance could not be read: all requests are refused
 }
 
 var units = map[core.Unit]string{core.UnitRequests: "requests", core.UnitTokens: "tokens"}
@@ -45,8 +45,8 @@
 		s := known[w.Name]
 		status := Status{
 			Name: w.Name, Unit: units[w.Unit], Rate: w.Rate, Burst: w.Burst, Keys: make([]string, 0, len(w.Keys)),
-			Asked: math.Round(s.Asked), Spent: math.Round(s.Spent), Left: math.Round(s.Left), Share: s.Share, Refused: s.Refused,
-			Age: s.Age.Round(ageResolution).String(), Problem: w.Invalid,
+			Demand: math.Round(s.Demand), Accepted: math.Round(s.Spent), Available: math.Round(s.Left), Share: s.Share, Refused: s.Refused,
+			UsageAge: s.Age.Round(ageResolution).String(), Problem: w.Invalid,
 		}
 		for _, k := range w.Keys {
 			status.Keys = append(status.Keys, k.String())
@@ -54,7 +54,7 @@
 		out = append(out, status)
 	}
 	slices.SortFunc(out, func(a, b Status) int {
-		return cmp.Or(cmp.Compare(b.Asked*max(1, a.Rate), a.Asked*max(1, b.Rate)), cmp.Compare(a.Name, b.Name))
+		return cmp.Or(cmp.Compare(b.Demand*max(1, a.Rate), a.Demand*max(1, b.Rate)), cmp.Compare(a.Name, b.Name))
 	})
 	return out
 }
--- a/setting/setting.go
+++ b/setting/setting.go
@@ -17,41 +17,41 @@
 
 // File is the content of the settings file.
 type File struct {
-	Note     string   `json:"note,omitempty"` // comment for operators
-	Name     string   `json:"name"`           // unique among the daemons
-	Place    string   `json:"place"`          // data centre
-	Caller   string   `json:"caller"`         // IP:port for callers
-	Peer     string   `json:"peer"`           // IP:port for other daemons, TCP and UDP
-	Admin    string   `json:"admin"`          // IP:port for operators, metrics and health
-	Platform string   `json:"platform"`       // IP:port of the platform's object API
-	Seeds    []string `json:"seeds"`          // peer addresses by which to join the other daemons
-	Token    string   `json:"token"`          // bearer token of operators
-	Log      Log      `json:"log"`
-	Trace    Trace    `json:"trace"`
-	Held     Held     `json:"held"`
-	Limits   Limits   `json:"limits"`
-	Fleet    *Fleet   `json:"fleet"` // set if the daemon serves callers through the platform
+	Note       string      `json:"note,omitempty"` // comment for operators
+	Name       string      `json:"name"`           // unique among the daemons
+	DataCentre string      `json:"place"`          // data centre
+	Caller     string      `json:"caller"`         // IP:port for callers
+	Peer       string      `json:"peer"`           // IP:port for other daemons, TCP and UDP
+	Admin      string      `json:"admin"`          // IP:port for operators, metrics and health
+	Platform   string      `json:"platform"`       // IP:port of the platform's object API
+	Seeds      []string    `json:"seeds"`          // peer addresses by which to join the other daemons
+	Token      string      `json:"token"`          // bearer token of operators
+	Log        Log         `json:"log"`
+	Trace      Trace       `json:"trace"`
+	Held       HeldAnswers `json:"held"`
+	Limits     Limits      `json:"limits"`
+	Fleet      *Fleet      `json:"fleet"` // set if the daemon serves callers through the platform
 }
 
 // Fleet holds the settings of a daemon where callers get their addresses from the system
 // and runners register themselves in the platform's store.
 type Fleet struct {
-	Ready     string        `json:"ready"`     // IP:port of the readiness check
-	Directory string        `json:"directory"` // IP:port from which callers get the addresses to use
-	Keep      core.Duration `json:"keep"`      // how long callers may use these addresses
-	Grace     core.Duration `json:"grace"`     // time from the stop signal until the process is killed
-	Lease     core.Duration `json:"lease"`     // minimum time between the orders of two holders
-	Ratio     float64       `json:"ratio"`     // retry budget as a share of requests, over all daemons
-	Slack     float64       `json:"slack"`     // retries allowed in addition, over all daemons
-	Window    core.Duration `json:"window"`    // time over which both are counted
-	Quota     Quota         `json:"quota"`     // of workspaces' allowances
-	Keys      Keys          `json:"keys"`      // of callers
+	Ready       string        `json:"ready"`     // IP:port of the readiness check
+	Directory   string        `json:"directory"` // IP:port from which callers get the addresses to use
+	AddressTTL  core.Duration `json:"keep"`      // how long callers may use these addresses
+	Grace       core.Duration `json:"grace"`     // time from the stop signal until the process is killed
+	Lease       core.Duration `json:"lease"`     // minimum time between the orders of two holders
+	RetryRatio  float64       `json:"ratio"`     // retry budget as a share of requests, over all daemons
+	RetrySlack  float64       `json:"slack"`     // retries allowed in addition, over all daemons
+	RetryWindow core.Duration `json:"window"`    // time over which both are counted
+	Quota       Quota         `json:"quota"`     // of workspaces' allowances
+	Keys        Keys          `json:"keys"`      // of callers
 }
 
 // Keys says how long callers' keys are accepted while they cannot be confirmed.
 type Keys struct {
-	Closed  bool          `json:"closed"`  // callers are refused after that time
-	Confirm core.Duration `json:"confirm"` // time since the store was last confirmed to have no newer configuration
+	FailClosed     bool          `json:"closed"`  // callers are refused after that time
+	MaxUnconfirmed core.Duration `json:"confirm"` // time since the store was last confirmed to have no newer configuration
 }
 
 // Quota says over which time window workspaces' allowances are checked, and by how much
@@ -66,8 +66,8 @@
 const defaultQuotaWindow = 8 * time.Second
 
 // Bounds converts the quota to the form that the enforcement of allowances uses.
-func (q Quota) Bounds() core.Window {
-	w := core.Window{Length: time.Duration(q.Window), Over: q.Over, Slack: q.Slack}
+func (q Quota) Bounds() core.AllowanceWindow {
+	w := core.AllowanceWindow{Length: time.Duration(q.Window), Over: q.Over, Slack: q.Slack}
 	if w.Length == 0 {
 		w.Length = defaultQuotaWindow
 	}
@@ -91,20 +91,20 @@
 	Share    float64 `json:"share"`    // share of requests that are traced, 0 to 1
 }
 
-// Held bounds the finished answers that are kept for callers that reconnect.
-type Held struct {
+// HeldAnswers bounds the finished answers that are kept for callers that reconnect.
+type HeldAnswers struct {
 	Bytes core.Bytes    `json:"bytes"` // total size
-	Life  core.Duration `json:"life"`  // how long an answer is kept
+	TTL   core.Duration `json:"life"`  // how long an answer is kept
 }
 
 // Limits bounds what callers send and how often the platform is called, and declares how
 // much of a processor the daemon may use.
 type Limits struct {
-	Header   core.Bytes    `json:"header"`   // size of the request header
-	Body     core.Bytes    `json:"body"`     // size of the request body
-	Sender   core.Duration `json:"sender"`   // longest time in which a request body must arrive
-	Platform float64       `json:"platform"` // calls of the platform per second
-	Cores    float64       `json:"cores"`    // processor cores that the daemon may use; 0 means unknown
+	Header       core.Bytes    `json:"header"`   // size of the request header
+	Body         core.Bytes    `json:"body"`     // size of the request body
+	BodyTimeout  core.Duration `json:"sender"`   // longest time in which a request body must arrive
+	PlatformRate float64       `json:"platform"` // calls of the platform per second
+	Cores        float64       `json:"cores"`    // processor cores that the daemon may use; 0 means unknown
 }
 
 // Setting is a validated File with its parsed addresses and log level.
@@ -123,8 +123,8 @@
 	return File{
 		Log:    Log{Level: "info"},
 		Trace:  Trace{Share: 1},
-		Held:   Held{Bytes: 64e6, Life: core.Duration(5 * time.Minute)},
-		Limits: Limits{Header: 64e3, Body: 32e6, Sender: core.Duration(30 * time.Second), Platform: 20},
+		Held:   HeldAnswers{Bytes: 64e6, TTL: core.Duration(5 * time.Minute)},
+		Limits: Limits{Header: 64e3, Body: 32e6, BodyTimeout: core.Duration(30 * time.Second), PlatformRate: 20},
 	}
 }
 
@@ -145,7 +145,7 @@
 	}
 	c := &checker{}
 	c.required("name", s.Name)
-	c.required("place", s.Place)
+	c.required("place", s.DataCentre)
 	s.CallerAddr = c.addr("caller", s.Caller)
 	s.PeerAddr = c.addr("peer", s.Peer)
 	s.AdminAddr = c.addr("admin", s.Admin)
@@ -196,7 +196,7 @@
 	for _, field := range []struct {
 		path  string
 		value core.Duration
-	}{{"keep", f.Keep}, {"grace", f.Grace}, {"lease", f.Lease}, {"window", f.Window}} {
+	}{{"keep", f.AddressTTL}, {"grace", f.Grace}, {"lease", f.Lease}, {"window", f.RetryWindow}} {
 		if field.value <= 0 {
 			c.add("fleet."+field.path, "must be above zero")
 		}
@@ -204,10 +204,10 @@
 	if f.Quota.Window < 0 || f.Quota.Over < 0 || f.Quota.Slack < 0 {
 		c.add("fleet.quota", "window, over and slack must not be below zero")
 	}
-	if f.Keys.Confirm < 0 || f.Keys.Closed && f.Keys.Confirm == 0 {
+	if f.Keys.MaxUnconfirmed < 0 || f.Keys.FailClosed && f.Keys.MaxUnconfirmed == 0 {
 		c.add("fleet.keys.confirm", "must not be below zero, and above it where keys.closed is set")
 	}
-	if f.Ratio < 0 || f.Slack < 0 {
+	if f.RetryRatio < 0 || f.RetrySlack < 0 {
 		c.add("fleet.ratio", "ratio and slack must not be below zero")
 	}
 }
@@ -227,10 +227,10 @@
 	if u, err := url.Parse(s.Trace.Endpoint); s.Trace.Endpoint != "" && (err != nil || u.Host == "") {
 		c.add("trace.endpoint", "want a URL")
 	}
-	if s.Held.Bytes <= 0 || s.Held.Life <= 0 {
+	if s.Held.Bytes <= 0 || s.Held.TTL <= 0 {
 		c.add("held", "bytes and life must be above zero")
 	}
-	if s.Limits.Header < 1e3 || s.Limits.Body <= 0 || s.Limits.Sender <= 0 || s.Limits.Platform <= 0 {
+	if s.Limits.Header < 1e3 || s.Limits.Body <= 0 || s.Limits.BodyTimeout <= 0 || s.Limits.PlatformRate <= 0 {
 		c.add("limits", "header must be 1KB or more, the others above zero")
 	}
 	if s.Limits.Cores < 0 {
--- a/soak/check.go
+++ b/soak/check.go
@@ -78,8 +78,8 @@
 			if leaving != nil && r.runner == leaving && r.At.After(inForce) {
 				w.reportViolation("%s: sent to %s, which has left", id, leaving.ID)
 			}
-			if r.runner.Service == "app" && r.At.After(inForce) && !slices.Contains(dataCentres[:2], r.runner.Place) {
-				w.reportViolation("%s: ran in %s, where the settings forbid it", id, r.runner.Place)
+			if r.runner.Service == "app" && r.At.After(inForce) && !slices.Contains(dataCentres[:2], r.runner.DataCentre) {
+				w.reportViolation("%s: ran in %s, where the settings forbid it", id, r.runner.DataCentre)
 			}
 		}
 	}
@@ -143,7 +143,7 @@
 // checkLimits checks that a runner that announced a limit received no more from all daemons.
 // A runner that announced several limits for overlapping times is bound by none of them.
 func (w *World) checkLimits(h *proxiedRunner) {
-	arrived := h.Arrived()
+	arrived := h.ArrivalTimes()
 	for i, l := range h.limits {
 		if slices.ContainsFunc(h.limits, func(o limitPeriod) bool { return o != l && o.from.Before(l.to) && l.from.Before(o.to) }) {
 			continue
@@ -217,7 +217,7 @@
 
 // report returns the result of the run.
 func (w *World) report(calmFrom, calmTo time.Time) *Report {
-	r := &Report{Seed: w.opts.Seed, Wrong: w.violations, Events: w.events, Asked: len(w.requests), Logs: w.logFiles()}
+	r := &Report{Seed: w.opts.Seed, Violations: w.violations, Events: w.events, Requests: len(w.requests), Logs: w.logFiles()}
 	for _, req := range w.requests {
 		switch {
 		case req.status == http.StatusOK && req.complete:
@@ -228,6 +228,6 @@
 			r.Lost++
 		}
 	}
-	r.CalmGood, r.InCalm = w.countServed(calmFrom, calmTo)
+	r.CalmServed, r.CalmRequests = w.countServed(calmFrom, calmTo)
 	return r
 }
--- a/soak/faults.go
+++ b/soak/faults.go
@@ -124,7 +124,7 @@
 		case 4:
 			f.Busy = true
 		default:
-			w.store.Forget()
+			w.store.DropHistory()
 		}
 		down := randomSeconds(r, 0.5, 5)
 		w.store.SetFaults(f)
@@ -294,5 +294,5 @@
 	if h.Service == "gen" && r.IntN(2) == 0 {
 		models = []string{"m1"}
 	}
-	w.addRunner(h.Service, h.Place, models)
+	w.addRunner(h.Service, h.DataCentre, models)
 }
--- a/soak/run.go
+++ b/soak/run.go
@@ -32,16 +32,16 @@
 
 // Report is the result of a run.
 type Report struct {
-	Seed     uint64
-	Wrong    []string // guarantees that were violated
-	Events   []string // what was done, and when
-	Asked    int      // requests sent
-	Served   int
-	Refused  int
-	Lost     int // requests without a complete answer
-	InCalm   int // requests of the calm phase, as countServed counts them
-	CalmGood int // those of them that were served
-	Logs     []string
+	Seed         uint64
+	Violations   []string // guarantees that were violated
+	Events       []string // what was done, and when
+	Requests     int      // requests sent
+	Served       int
+	Refused      int
+	Lost         int // requests without a complete answer
+	CalmRequests int // requests of the calm phase, as countServed counts them
+	CalmServed   int // those of them that were served
+	Logs         []string
 }
 
 // errNotReady is returned for a run whose daemons do not become ready.
@@ -85,7 +85,7 @@
 			c.run(stop)
 		}()
 	}
-	w.injectFaults(o.Length)
+	w.injectFaults(o.FaultDuration)
 	w.endFaults()
 	calmFrom := time.Now()
 	w.runPlannedWork()
--- a/soak/soak_test.go
+++ b/soak/soak_test.go
@@ -34,10 +34,10 @@
 	for _, kept := range keptSeeds {
 		t.Run(kept.cause, func(t *testing.T) {
 			t.Parallel()
-			r, err := Run(Options{Binary: binary, Seed: kept.seed, FaultKinds: kept.kinds, Daemons: 3, Callers: 6, Length: 5 * time.Second, Scale: 2, Dir: t.TempDir()})
+			r, err := Run(Options{Binary: binary, Seed: kept.seed, FaultKinds: kept.kinds, Daemons: 3, Callers: 6, FaultDuration: 5 * time.Second, Scale: 2, Dir: t.TempDir()})
 			assert.NilError(t, err)
-			t.Logf("%d requests: %d served, %d refused, %d lost; calm phase: %d of %d served", r.Asked, r.Served, r.Refused, r.Lost, r.CalmGood, r.InCalm)
-			for _, line := range r.Wrong {
+			t.Logf("%d requests: %d served, %d refused, %d lost; calm phase: %d of %d served", r.Requests, r.Served, r.Refused, r.Lost, r.CalmServed, r.CalmRequests)
+			for _, line := range r.Violations {
 				t.Error(line)
 			}
 			if !t.Failed() {
--- a/soak/world.go
+++ b/soak/world.go
@@ -28,14 +28,14 @@
 
 // Options are the parameters of a run.
 type Options struct {
-	Binary     string        // path of primrosed
-	Seed       uint64        // of the order of faults
-	FaultKinds int           // how many kinds of faults are used, from the start of the list; 0: all
-	Daemons    int           // number of processes
-	Callers    int           // number of callers that send requests at the same time
-	Length     time.Duration // time in which faults are injected; recovery and its checks follow
-	Scale      int           // factor on time limits, for a busy machine; 0: 1
-	Dir        string        // for settings files and logs
+	Binary        string        // path of primrosed
+	Seed          uint64        // of the order of faults
+	FaultKinds    int           // how many kinds of faults are used, from the start of the list; 0: all
+	Daemons       int           // number of processes
+	Callers       int           // number of callers that send requests at the same time
+	FaultDuration time.Duration // time in which faults are injected; recovery and its checks follow
+	Scale         int           // factor on time limits, for a busy machine; 0: 1
+	Dir           string        // for settings files and logs
 }
 
 const (
@@ -162,9 +162,9 @@
 	w.mu.Unlock()
 	h := &proxiedRunner{}
 	spec := runner.Spec{
-		ID: id, Service: service, Place: dataCentre, Slots: slotsPerRunner, Models: models, Gap: 5 * time.Millisecond,
-		Fatal: isFatal, FatalAfter: fatalAfter, Ended: func() { w.runnerExited(h) },
-		Reached: func(addr string) string {
+		ID: id, Service: service, DataCentre: dataCentre, Slots: slotsPerRunner, Models: models, Interval: 5 * time.Millisecond,
+		Fatal: isFatal, FatalAfter: fatalAfter, Exited: func() { w.runnerExited(h) },
+		AdvertisedAddr: func(addr string) string {
 			if h.proxy == nil {
 				h.proxy, _ = NewProxy(addr) // the run panics below if no loopback port is free
 			}
@@ -172,8 +172,8 @@
 		},
 	}
 	if service == "gen" {
-		spec.Events, spec.Gap = eventsPerStream, eventGap
-		spec.MaxModels, spec.MaxAdapters, spec.Load = maxModels, maxAdapters, modelLoad
+		spec.Events, spec.Interval = eventsPerStream, eventGap
+		spec.MaxModels, spec.MaxAdapters, spec.LoadTime = maxModels, maxAdapters, modelLoad
 	}
 	h.Server = runner.New(spec, func(kind, name string, entry any) {
 		if err := w.store.Put(kind, name, entry); err != nil {
@@ -229,7 +229,7 @@
 func (w *World) restrictDataCentres(allowed []string) error {
 	ctx, cancel := context.WithTimeout(context.Background(), operatorLimit)
 	defer cancel()
-	body, err := json.Marshal(tree.Stored{Node: &tree.Node{Set: tree.Settings{Places: &allowed}}})
+	body, err := json.Marshal(tree.BranchBody{Node: &tree.Node{Set: tree.Settings{DataCentres: &allowed}}})
 	if err != nil {
 		return err
 	}
--- a/standin/engine/chat.go
+++ b/standin/engine/chat.go
@@ -37,8 +37,8 @@
 	Continue  bool      `json:"continue_final_message"`
 }
 
-// Text returns the complete answer of n tokens to a prompt, as tests expect it.
-func Text(model, prompt string, n int) string {
+// ExpectedAnswer returns the complete answer of n tokens to a prompt, as tests expect it.
+func ExpectedAnswer(model, prompt string, n int) string {
 	var b strings.Builder
 	for i := range n {
 		b.WriteString(token(model, prompt, i))
@@ -115,7 +115,7 @@
 		http.Error(w, "model is not ready", http.StatusNotFound)
 		return
 	}
-	if faults.Cross > 0 {
+	if faults.CrossedAnswers > 0 {
 		w.Header().Set(core.HeaderRequestID, "another-"+attempt)
 	}
 	if req.MaxTokens <= 0 {
@@ -146,12 +146,12 @@
 	s.runs = append(s.runs, Run{Attempt: attempt, Model: model, Prompt: prompt, Key: key})
 	s.running[model]++
 	f := s.faults
-	if f.Cuts <= 0 {
-		f.CutAfter, f.SilentAt = 0, 0
+	if f.FaultyRequests <= 0 {
+		f.CutAfter, f.StallAfter = 0, 0
 	}
-	s.faults.Cuts = max(0, s.faults.Cuts-1)
-	s.faults.Cross = max(0, s.faults.Cross-1)
-	s.faults.Truncate = max(0, s.faults.Truncate-1)
+	s.faults.FaultyRequests = max(0, s.faults.FaultyRequests-1)
+	s.faults.CrossedAnswers = max(0, s.faults.CrossedAnswers-1)
+	s.faults.TruncatedAnswers = max(0, s.faults.TruncatedAnswers-1)
 	return f, true
 }
 
@@ -181,7 +181,7 @@
 		select {
 		case <-ctx.Done():
 			return
-		case <-time.After(s.cfg.Token):
+		case <-time.After(s.cfg.TokenInterval):
 		}
 		t := token(req.Model, prompt, i)
 		text.WriteString(t)
@@ -225,14 +225,14 @@
 	for {
 		data, done, changed := st.from(offset)
 		if len(data) > 0 {
-			if f.SilentAt > 0 && writes >= f.SilentAt {
+			if f.StallAfter > 0 && writes >= f.StallAfter {
 				<-r.Context().Done()
 				return
 			}
 			if f.CutAfter > 0 && writes >= f.CutAfter {
 				panic(http.ErrAbortHandler)
 			}
-			if f.Truncate > 0 && len(data) > 1 && done {
+			if f.TruncatedAnswers > 0 && len(data) > 1 && done {
 				_, _ = w.Write(data[:len(data)/2])
 				return
 			}
--- a/standin/engine/engine.go
+++ b/standin/engine/engine.go
@@ -20,25 +20,25 @@
 
 // Config describes an engine.
 type Config struct {
-	Memory   int64           // bytes
-	Slots    int             // requests served at the same time
-	Fenced   bool            // refuses orders with an old fencing number
-	Token    time.Duration   // time between tokens
-	Load     time.Duration   // time to load a model
-	Resident []core.Resident // models loaded at the start
+	Memory        int64           // bytes
+	Slots         int             // requests served at the same time
+	Fenced        bool            // refuses orders with an old fencing number
+	TokenInterval time.Duration   // time between tokens
+	LoadTime      time.Duration   // time to load a model
+	Resident      []core.Resident // models loaded at the start
 }
 
 // Faults lists the faults that the stand-in injects. Counts apply to the next requests.
 type Faults struct {
-	CutAfter   int  `json:"cut_after"`   // writes, of one or more tokens, until the connection is closed
-	SilentAt   int  `json:"silent_at"`   // writes until the connection stalls
-	Cuts       int  `json:"cuts"`        // requests whose connection is closed or stalls
-	Cross      int  `json:"cross"`       // answers that carry another request's id
-	Truncate   int  `json:"truncate"`    // answers that end early as if complete
-	LoseOrders int  `json:"lose_orders"` // orders that are dropped without being carried out
-	LateOrders int  `json:"late_orders"` // orders that are carried out 2 s later
-	NoResume   bool `json:"no_resume"`   // streams cannot be resumed
-	Leaving    bool `json:"leaving"`     // the state says that the engine is leaving
+	CutAfter         int  `json:"cut_after"`   // writes, of one or more tokens, until the connection is closed
+	StallAfter       int  `json:"silent_at"`   // writes until the connection stalls
+	FaultyRequests   int  `json:"cuts"`        // requests whose connection is closed or stalls
+	CrossedAnswers   int  `json:"cross"`       // answers that carry another request's id
+	TruncatedAnswers int  `json:"truncate"`    // answers that end early as if complete
+	LoseOrders       int  `json:"lose_orders"` // orders that are dropped without being carried out
+	LateOrders       int  `json:"late_orders"` // orders that are carried out 2 s later
+	NoResume         bool `json:"no_resume"`   // streams cannot be resumed
+	Leaving          bool `json:"leaving"`     // the state says that the engine is leaving
 }
 
 // Run is a request that the engine has begun to run.
@@ -110,8 +110,8 @@
 	return slices.Clone(s.runs)
 }
 
-// Peak returns the most memory in use at any time, in bytes.
-func (s *Server) Peak() int64 {
+// PeakMemory returns the most memory in use at any time, in bytes.
+func (s *Server) PeakMemory() int64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.peak
@@ -162,12 +162,12 @@
 
 func (s *Server) log(w http.ResponseWriter, _ *http.Request) {
 	w.Header().Set("Content-Type", "application/json")
-	_ = json.NewEncoder(w).Encode(map[string]any{"runs": s.Runs(), "peak": s.Peak(), "memory": s.cfg.Memory})
+	_ = json.NewEncoder(w).Encode(map[string]any{"runs": s.Runs(), "peak": s.PeakMemory(), "memory": s.cfg.Memory})
 }
 
 func (s *Server) state(w http.ResponseWriter, _ *http.Request) {
 	s.mu.Lock()
-	o := core.Observation{Boot: s.boot, Leaving: s.faults.Leaving}
+	o := core.Observation{Instance: s.boot, Leaving: s.faults.Leaving}
 	if s.cfg.Fenced {
 		o.Fence = s.fence
 	}
@@ -245,7 +245,7 @@
 	m := &resident{Resident: core.Resident{Model: o.Model, Version: o.Version, Bytes: o.Bytes}}
 	s.models[key] = m
 	s.peak = max(s.peak, s.used())
-	time.AfterFunc(s.cfg.Load, func() {
+	time.AfterFunc(s.cfg.LoadTime, func() {
 		s.mu.Lock()
 		defer s.mu.Unlock()
 		m.Ready = true
--- a/standin/fuzz/fuzz.go
+++ b/standin/fuzz/fuzz.go
@@ -19,13 +19,13 @@
 // runs the tests and exits with their exit code.
 func Main(m Runner, checks, steps int) {
 	flag.Parse()
-	Fix(1, checks, steps)
+	FixSeeds(1, checks, steps)
 	os.Exit(m.Run())
 }
 
-// Fix sets the seed, number and length of sequences for the tests that follow, unless
+// FixSeeds sets the seed, number and length of sequences for the tests that follow, unless
 // the environment asks for random seeds.
-func Fix(seed, checks, steps int) {
+func FixSeeds(seed, checks, steps int) {
 	if os.Getenv(EnvRandomSeeds) != "" {
 		return
 	}
--- a/standin/memory/memory.go
+++ b/standin/memory/memory.go
@@ -45,8 +45,8 @@
 // Client returns a new client of the store.
 func (s *Store) Client() *Client { return &Client{store: s} }
 
-// Cut makes all calls of this client fail, or succeed again.
-func (c *Client) Cut(cut bool) {
+// SetDisconnected makes all calls of this client fail, or succeed again.
+func (c *Client) SetDisconnected(cut bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.cut = cut
@@ -67,8 +67,8 @@
 	s.dropping = dropping
 }
 
-// Forget drops the history: watches from an older version fail with ErrGone.
-func (s *Store) Forget() {
+// DropHistory drops the history: watches from an older version fail with ErrGone.
+func (s *Store) DropHistory() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.history, s.oldest = nil, s.version
--- a/standin/platform/platform.go
+++ b/standin/platform/platform.go
@@ -40,7 +40,7 @@
 type event struct {
 	version uint64
 	kind    string
-	wire    wire.Change
+	wire    wire.WatchEvent
 }
 
 // Server is the stand-in; it implements http.Handler.
@@ -181,8 +181,8 @@
 	}
 }
 
-// Forget drops the history: watches from older versions get status 410.
-func (s *Server) Forget() {
+// DropHistory drops the history: watches from older versions get status 410.
+func (s *Server) DropHistory() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.version++
@@ -291,7 +291,7 @@
 		s.objects[kind] = map[string]wire.Item{}
 	}
 	s.objects[kind][i.Metadata.Name] = i
-	s.history = append(s.history, event{version: s.version, kind: kind, wire: wire.Change{Removed: removed, Object: i}})
+	s.history = append(s.history, event{version: s.version, kind: kind, wire: wire.WatchEvent{Removed: removed, Object: i}})
 	if len(s.history) > historyLimit {
 		s.history = slices.Clone(s.history[historyLimit/2:])
 	}
@@ -335,7 +335,7 @@
 			events, current, _, _ = s.changesSince(kind, from-staleChanges)
 		}
 		if len(events) > 0 {
-			writeJSON(w, http.StatusOK, wire.Changes{Events: events, Current: current})
+			writeJSON(w, http.StatusOK, wire.WatchAnswer{Events: events, Current: current})
 			return
 		}
 		select {
@@ -343,7 +343,7 @@
 			return
 		case <-changed:
 		case <-timeout.C:
-			writeJSON(w, http.StatusOK, wire.Changes{Events: []wire.Change{}, Current: current})
+			writeJSON(w, http.StatusOK, wire.WatchAnswer{Events: []wire.WatchEvent{}, Current: current})
 			return
 		}
 	}
@@ -351,10 +351,10 @@
 
 // changesSince returns the changes of a kind after a version, the store's version, the
 // channel that is closed at the next change, and whether the platform is down.
-func (s *Server) changesSince(kind string, from uint64) ([]wire.Change, uint64, chan struct{}, bool) {
+func (s *Server) changesSince(kind string, from uint64) ([]wire.WatchEvent, uint64, chan struct{}, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	var out []wire.Change
+	var out []wire.WatchEvent
 	for _, e := range s.history {
 		if e.version > from && e.kind == kind {
 			out = append(out, e.wire)
--- a/standin/runner/runner.go
+++ b/standin/runner/runner.go
@@ -21,26 +21,26 @@
 
 // Spec describes a runner.
 type Spec struct {
-	ID      string
-	Service string
-	Place   string
-	Slots   int           // twice as many requests run at the same time; 0: any number
-	Models  []string      // loaded at the start
-	Events  int           // in a stream; 0: plain answers
-	Gap     time.Duration // between events, and before a plain answer
+	ID         string
+	Service    string
+	DataCentre string
+	Slots      int           // twice as many requests run at the same time; 0: any number
+	Models     []string      // loaded at the start
+	Events     int           // in a stream; 0: plain answers
+	Interval   time.Duration // between events, and before a plain answer
 	// MaxModels and MaxAdapters bound what may be loaded; 0: any number. An order that
 	// exceeds them is carried out and recorded as a violation.
 	MaxModels, MaxAdapters int
-	Load                   time.Duration // time to load a model; 0: loaded at once
+	LoadTime               time.Duration // time to load a model; 0: loaded at once
 	// Fatal reports whether the runner exits because of a request with this body; nil:
 	// it never does. The runner exits FatalAfter after it has begun to run the request,
 	// and then calls Ended.
 	Fatal      func(body string) bool
 	FatalAfter time.Duration
-	Ended      func()
-	// Reached returns the address to register for the runner's listen address; nil: the
+	Exited     func()
+	// AdvertisedAddr returns the address to register for the runner's listen address; nil: the
 	// listen address itself.
-	Reached func(addr string) string
+	AdvertisedAddr func(addr string) string
 }
 
 // Run is a request that has begun to run.
@@ -109,8 +109,8 @@
 	s.Register()
 }
 
-// Born returns the start time of the runner's present instance.
-func (s *Server) Born() time.Time {
+// StartTime returns the start time of the runner's present instance.
+func (s *Server) StartTime() time.Time {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.started
@@ -152,8 +152,8 @@
 	s.limit = values
 }
 
-// Arrived returns the arrival times of all requests, run or not, oldest first.
-func (s *Server) Arrived() []time.Time {
+// ArrivalTimes returns the arrival times of all requests, run or not, oldest first.
+func (s *Server) ArrivalTimes() []time.Time {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return append([]time.Time(nil), s.arrived...)
@@ -191,8 +191,8 @@
 	return append([]Run(nil), s.runs...)
 }
 
-// Holds reports whether a model is loaded and, if adapter is not empty, that adapter.
-func (s *Server) Holds(model, adapter string) bool {
+// IsLoaded reports whether a model is loaded and, if adapter is not empty, that adapter.
+func (s *Server) IsLoaded(model, adapter string) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	adapters, ok := s.models[model]
@@ -221,11 +221,11 @@
 	s.mu.Lock()
 	started := uint64(s.started.UnixMilli())
 	address := s.srv.Listener.Addr().String()
-	if s.Reached != nil {
-		address = s.Reached(address)
+	if s.AdvertisedAddr != nil {
+		address = s.AdvertisedAddr(address)
 	}
 	entry := platform.RunnerMessage{
-		Born: &started, Service: s.Service, Address: address, Zone: s.Place, Slots: s.Slots,
+		StartedAt: &started, Service: s.Service, Address: address, Zone: s.DataCentre, Slots: s.Slots,
 		State: platform.StateReady, Sequence: s.sequence, Models: s.loadedModels(),
 	}
 	if s.draining {
@@ -239,7 +239,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	started := uint64(s.started.UnixMilli())
-	writeJSON(w, http.StatusOK, platform.ReportMessage{Born: &started, Models: s.loadedModels(), Sequence: s.sequence, Busy: s.busy})
+	writeJSON(w, http.StatusOK, platform.ReportMessage{StartedAt: &started, Models: s.loadedModels(), Sequence: s.sequence, Busy: s.busy})
 }
 
 func (s *Server) order(w http.ResponseWriter, r *http.Request) {
@@ -302,13 +302,13 @@
 }
 
 func (s *Server) loadModel(model string) {
-	if s.Load == 0 {
+	if s.LoadTime == 0 {
 		s.models[model] = nil
 		return
 	}
 	s.busy = true
 	started := s.started
-	time.AfterFunc(s.Load, func() {
+	time.AfterFunc(s.LoadTime, func() {
 		s.mu.Lock()
 		if !s.started.Equal(started) {
 			s.mu.Unlock()
@@ -331,7 +331,7 @@
 	w.Header().Set(platform.HeaderRequestID, id)
 	model := r.Header.Get(platform.HeaderModel)
 	name, adapter, _ := strings.Cut(model, "/")
-	if r.Header.Get(platform.HeaderInstance) != s.ID || model != "" && !s.Holds(name, adapter) {
+	if r.Header.Get(platform.HeaderInstance) != s.ID || model != "" && !s.IsLoaded(name, adapter) {
 		w.Header().Set(platform.HeaderNotRun, "1")
 		w.WriteHeader(http.StatusMisdirectedRequest)
 		return
@@ -368,7 +368,7 @@
 		s.stream(w, r, cut)
 		return
 	}
-	time.Sleep(s.Gap)
+	time.Sleep(s.Interval)
 	text := s.ID + " " + r.RequestURI + " " + string(body)
 	w.Header().Set("Content-Length", strconv.Itoa(len(text)))
 	_, _ = io.WriteString(w, text)
@@ -400,7 +400,7 @@
 	}
 	_ = s.srv.Listener.Close()
 	s.srv.CloseClientConnections()
-	s.Ended()
+	s.Exited()
 }
 
 // stream sends the events after the one in the Last-Event-Id header. If cut is positive, it
@@ -422,7 +422,7 @@
 		select {
 		case <-r.Context().Done():
 			return
-		case <-time.After(s.Gap):
+		case <-time.After(s.Interval):
 		}
 	}
 }
--- a/standin/service/service.go
+++ b/standin/service/service.go
@@ -72,7 +72,7 @@
 func (s *Server) state(w http.ResponseWriter, _ *http.Request) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	_ = json.NewEncoder(w).Encode(core.Observation{Leaving: s.faults.Leaving, Boot: s.name})
+	_ = json.NewEncoder(w).Encode(core.Observation{Leaving: s.faults.Leaving, Instance: s.name})
 }
 
 func (s *Server) log(w http.ResponseWriter, _ *http.Request) {
--- a/state/answer/answer_test.go
+++ b/state/answer/answer_test.go
@@ -100,7 +100,7 @@
 // Keep drops the oldest finished answers past its byte limit or TTL, and none in progress.
 func TestKeepDropsOldestFinished(t *testing.T) {
 	clock := clockwork.NewFakeClock()
-	k := NewKeep(clock, 100, time.Minute)
+	k := NewCache(clock, 100, time.Minute)
 	hold := func(key string, n int) *Held {
 		h, fresh := k.Begin(key, 1)
 		assert.Assert(t, fresh)
@@ -108,8 +108,8 @@
 		return h
 	}
 	running := hold("running", 90)
-	k.Finished(hold("a", 60))
-	k.Finished(hold("b", 60))
+	k.MarkFinished(hold("a", 60))
+	k.MarkFinished(hold("b", 60))
 	_, err := k.Get("a")
 	assert.Assert(t, errors.Is(err, core.ErrGone), "a dropped answer must be reported as gone")
 	_, err = k.Get("b")
--- a/state/answer/keep.go
+++ b/state/answer/keep.go
@@ -11,8 +11,8 @@
 // maxTombstones bounds the number of keys kept of dropped answers.
 const maxTombstones = 100000
 
-// Keep holds the answers of a process. Finished answers are bounded in bytes and time.
-type Keep struct {
+// Cache holds the answers of a process. Finished answers are bounded in bytes and time.
+type Cache struct {
 	clock core.Clock
 	limit int64         // bytes of finished answers
 	ttl   time.Duration // of finished answers
@@ -27,19 +27,19 @@
 
 // Held is one request with its answer.
 type Held struct {
-	Key    string
-	Print  uint64 // fingerprint of the request
-	Buffer *Buffer
+	Key         string
+	Fingerprint uint64 // fingerprint of the request
+	Buffer      *Buffer
 
 	finishedAt time.Time
 	elem       *list.Element // in Keep.finished; nil while the answer is in progress
 	size       int64         // bytes of the finished answer
 }
 
-// NewKeep returns an empty Keep that holds finished answers for ttl and at most limit
+// NewCache returns an empty Keep that holds finished answers for ttl and at most limit
 // bytes of them.
-func NewKeep(clock core.Clock, limit int64, ttl time.Duration) *Keep {
-	return &Keep{
+func NewCache(clock core.Clock, limit int64, ttl time.Duration) *Cache {
+	return &Cache{
 		clock:    clock,
 		limit:    limit,
 		ttl:      ttl,
@@ -52,20 +52,20 @@
 
 // Begin adds a request and returns it with true. If the key is in use, it returns the
 // request that has it and false.
-func (k *Keep) Begin(key string, fingerprint uint64) (*Held, bool) {
+func (k *Cache) Begin(key string, fingerprint uint64) (*Held, bool) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	if h, ok := k.held[key]; ok {
 		return h, false
 	}
-	h := &Held{Key: key, Print: fingerprint, Buffer: NewBuffer()}
+	h := &Held{Key: key, Fingerprint: fingerprint, Buffer: NewBuffer()}
 	k.held[key] = h
 	return h, true
 }
 
 // Get returns the held answer of a key. core.ErrGone means that it was held and has been
 // dropped; core.ErrNotFound, that the key is unknown.
-func (k *Keep) Get(key string) (*Held, error) {
+func (k *Cache) Get(key string) (*Held, error) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	if h, ok := k.held[key]; ok {
@@ -77,9 +77,9 @@
 	return nil, core.ErrNotFound
 }
 
-// Finished marks the answer of a request as ended. From then on it may be dropped, oldest
+// MarkFinished marks the answer of a request as ended. From then on it may be dropped, oldest
 // first, when its TTL has passed or the byte limit is exceeded.
-func (k *Keep) Finished(h *Held) {
+func (k *Cache) MarkFinished(h *Held) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	if h.elem != nil || k.held[h.Key] != h {
@@ -94,7 +94,7 @@
 
 // Forget removes a request whose outcome need not be held, such as a refusal, so that
 // the same id can be sent again.
-func (k *Keep) Forget(h *Held) {
+func (k *Cache) Forget(h *Held) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	if k.held[h.Key] == h {
@@ -103,7 +103,7 @@
 }
 
 // Trim drops finished answers whose TTL has passed.
-func (k *Keep) Trim() {
+func (k *Cache) Trim() {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	k.trim()
@@ -111,7 +111,7 @@
 
 // trim drops finished answers whose TTL has passed or that exceed the byte limit. The
 // caller holds the lock.
-func (k *Keep) trim() {
+func (k *Cache) trim() {
 	for k.finished.Len() > 0 {
 		h := k.finished.Front().Value.(*Held)
 		if k.bytes <= k.limit && k.clock.Since(h.finishedAt) < k.ttl {
@@ -122,7 +122,7 @@
 	}
 }
 
-func (k *Keep) remove(h *Held) {
+func (k *Cache) remove(h *Held) {
 	delete(k.held, h.Key)
 	if h.elem != nil {
 		k.finished.Remove(h.elem)
@@ -131,7 +131,7 @@
 }
 
 // addTombstone records the key of a dropped answer. The caller holds the lock.
-func (k *Keep) addTombstone(key string) {
+func (k *Cache) addTombstone(key string) {
 	k.gone[key] = struct{}{}
 	k.goneKeys.PushBack(key)
 	if k.goneKeys.Len() > maxTombstones {
@@ -142,14 +142,14 @@
 }
 
 // Bytes returns the total size of the finished answers.
-func (k *Keep) Bytes() int64 {
+func (k *Cache) Bytes() int64 {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	return k.bytes
 }
 
 // All returns the finished answers, oldest first.
-func (k *Keep) All() []*Held {
+func (k *Cache) All() []*Held {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	var out []*Held
--- a/state/catalog/catalog.go
+++ b/state/catalog/catalog.go
@@ -64,15 +64,15 @@
 // Option configures a Catalog.
 type Option func(*Catalog)
 
-// WithGone sets a function that is called for each runner that is gone.
-func WithGone(fn func(core.Runner)) Option { return func(c *Catalog) { c.onGone = fn } }
+// WithGoneCallback sets a function that is called for each runner that is gone.
+func WithGoneCallback(fn func(core.Runner)) Option { return func(c *Catalog) { c.onGone = fn } }
 
-// WithRestarted sets a function that is called for each runner that has restarted under
+// WithRestartCallback sets a function that is called for each runner that has restarted under
 // its id. Its argument is the runner as it was before the restart.
-func WithRestarted(fn func(core.Runner)) Option { return func(c *Catalog) { c.onRestart = fn } }
+func WithRestartCallback(fn func(core.Runner)) Option { return func(c *Catalog) { c.onRestart = fn } }
 
-// WithConfig sets a function that is called for each configuration that comes into force.
-func WithConfig(fn func(*core.Config)) Option { return func(c *Catalog) { c.onConfig = fn } }
+// WithConfigCallback sets a function that is called for each configuration that comes into force.
+func WithConfigCallback(fn func(*core.Config)) Option { return func(c *Catalog) { c.onConfig = fn } }
 
 // New returns an empty catalog.
 func New(clock core.Clock, opts ...Option) *Catalog {
@@ -154,7 +154,7 @@
 func (c *Catalog) Put(r core.Runner, now time.Time) {
 	c.mu.Lock()
 	old := c.entries[r.ID]
-	if old != nil && r.Born.Before(old.Born) {
+	if old != nil && r.StartedAt.Before(old.StartedAt) {
 		c.putEarlier(old, r, now)
 		c.mu.Unlock()
 		return
@@ -170,7 +170,7 @@
 // instance. The caller holds the lock.
 func (c *Catalog) put(old *Entry, r core.Runner, now time.Time) (restarted bool) {
 	e := &Entry{Runner: r, Seen: now}
-	restarted = old != nil && !r.Born.Equal(old.Born)
+	restarted = old != nil && !r.StartedAt.Equal(old.StartedAt)
 	if old != nil && !restarted {
 		e.updates = old.updates
 	}
@@ -183,7 +183,7 @@
 // caller holds the lock.
 func (c *Catalog) putEarlier(old *Entry, r core.Runner, now time.Time) {
 	next := *old
-	if next.earlier == nil || !next.earlier.Born.Equal(r.Born) {
+	if next.earlier == nil || !next.earlier.StartedAt.Equal(r.StartedAt) {
 		next.earlierAt = now
 	}
 	next.earlier, next.GoneAt = &r, time.Time{}
@@ -230,9 +230,9 @@
 	return len(gone)
 }
 
-// Learn records that a runner holds, or no longer holds, a model or an adapter. For a
+// RecordHolding records that a runner holds, or no longer holds, a model or an adapter. For a
 // model, adapter is empty.
-func (c *Catalog) Learn(id, model, adapter string, held bool) {
+func (c *Catalog) RecordHolding(id, model, adapter string, held bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	e, ok := c.entries[id]
--- a/state/catalog/catalog_test.go
+++ b/state/catalog/catalog_test.go
@@ -35,11 +35,11 @@
 	c := New(clock)
 	r := core.Runner{ID: "r1", Service: "s", Holdings: []core.Holding{{Model: "m"}}}
 	c.Put(r, clock.Now())
-	c.Learn("r1", "m", "a1", true)
+	c.RecordHolding("r1", "m", "a1", true)
 	assert.Assert(t, c.Runner("r1").HoldsAdapter("m", "a1"))
 	c.Put(r, clock.Now())
 	assert.Assert(t, c.Runner("r1").HoldsAdapter("m", "a1"))
-	c.Learn("r1", "m", "a1", false)
+	c.RecordHolding("r1", "m", "a1", false)
 	c.Put(r, clock.Now())
 	assert.Assert(t, !c.Runner("r1").HoldsAdapter("m", "a1"))
 	assert.Equal(t, len(r.Holdings[0].Adapters), 0, "the caller's description was modified")
@@ -53,8 +53,8 @@
 	c := New(clock)
 	r := core.Runner{ID: "r1", Service: "s", Holdings: []core.Holding{{Model: "old"}}}
 	c.Put(r, clock.Now())
-	c.Learn("r1", "old", "", false)
-	c.Learn("r1", "new", "", true)
+	c.RecordHolding("r1", "old", "", false)
+	c.RecordHolding("r1", "new", "", true)
 	c.Put(r, clock.Now())
 	assert.Assert(t, !c.Runner("r1").Holds("old") && c.Runner("r1").Holds("new"))
 	clock.Advance(modelUpdateTTL + time.Second)
@@ -66,7 +66,7 @@
 func TestLapse(t *testing.T) {
 	clock := clockwork.NewFakeClock()
 	var gone []string
-	c := New(clock, WithGone(func(r core.Runner) { gone = append(gone, r.ID) }))
+	c := New(clock, WithGoneCallback(func(r core.Runner) { gone = append(gone, r.ID) }))
 	for _, id := range []string{"r1", "r2"} {
 		c.Put(core.Runner{ID: id, Service: "s"}, clock.Now())
 		c.Lapse(id, clock.Now().Add(time.Second))
@@ -83,21 +83,21 @@
 // Guards against a series of rejected requests after a runner has restarted under its id:
 // the new instance holds nothing, but the daemon still uses holding updates of the
 // previous instance.
-func TestNothingHoldsOnAcrossARestart(t *testing.T) {
+func TestRestartDiscardsHoldingUpdates(t *testing.T) {
 	clock := clockwork.NewFakeClock()
 	var restarted []core.Runner
-	c := New(clock, WithRestarted(func(r core.Runner) { restarted = append(restarted, r) }))
+	c := New(clock, WithRestartCallback(func(r core.Runner) { restarted = append(restarted, r) }))
 	born := clock.Now()
 	instance := func(at time.Time, models ...string) core.Runner {
-		r := core.Runner{ID: "r1", Service: "s", Born: at}
+		r := core.Runner{ID: "r1", Service: "s", StartedAt: at}
 		for _, m := range models {
 			r.Holdings = append(r.Holdings, core.Holding{Model: m})
 		}
 		return r
 	}
 	c.Put(instance(born, "m"), clock.Now())
-	c.Learn("r1", "m", "a1", true)
-	c.Learn("r1", "n", "", true)
+	c.RecordHolding("r1", "m", "a1", true)
+	c.RecordHolding("r1", "n", "", true)
 	c.Put(instance(born, "m"), clock.Now())
 	assert.Equal(t, len(restarted), 0, "a description of the same instance")
 	for i := range 2 { // two restarts within a second
@@ -105,9 +105,9 @@
 		c.Put(instance(at, "m"), clock.Now())
 		assert.Equal(t, len(restarted), i+1)
 		e := c.Runner("r1")
-		assert.Assert(t, e.Born.Equal(at) && !e.HoldsAdapter("m", "a1") && !e.Holds("n"))
+		assert.Assert(t, e.StartedAt.Equal(at) && !e.HoldsAdapter("m", "a1") && !e.Holds("n"))
 	}
-	assert.Assert(t, restarted[0].Born.Equal(born), "the callback must get the instance that exited")
+	assert.Assert(t, restarted[0].StartedAt.Equal(born), "the callback must get the instance that exited")
 }
 
 // Guards against losing a restarted runner for good. The last write of its previous
@@ -118,27 +118,27 @@
 func TestFormerLifeSeenAfterTheNewOne(t *testing.T) {
 	clock := clockwork.NewFakeClock()
 	var restarted []core.Runner
-	c := New(clock, WithRestarted(func(r core.Runner) { restarted = append(restarted, r) }))
+	c := New(clock, WithRestartCallback(func(r core.Runner) { restarted = append(restarted, r) }))
 	late, early := clock.Now().Add(time.Second), clock.Now()
-	c.Put(core.Runner{ID: "r1", Service: "s", Born: late}, clock.Now())
-	earlier := core.Runner{ID: "r1", Service: "s", Born: early, Holdings: []core.Holding{{Model: "m"}}}
+	c.Put(core.Runner{ID: "r1", Service: "s", StartedAt: late}, clock.Now())
+	earlier := core.Runner{ID: "r1", Service: "s", StartedAt: early, Holdings: []core.Holding{{Model: "m"}}}
 	for range 3 {
 		c.Put(earlier, clock.Now())
 		clock.Advance(time.Second / 2)
 		c.Sweep(clock.Now())
 		assert.Assert(t, !c.Runner("r1").Holds("m"))
 	}
-	c.Put(core.Runner{ID: "r1", Service: "s", Born: late}, clock.Now()) // its heartbeat
+	c.Put(core.Runner{ID: "r1", Service: "s", StartedAt: late}, clock.Now()) // its heartbeat
 	clock.Advance(earlierGrace)
 	c.Sweep(clock.Now())
-	assert.Assert(t, c.Runner("r1").Born.Equal(late), "a late write of the previous instance replaced the new one")
+	assert.Assert(t, c.Runner("r1").StartedAt.Equal(late), "a late write of the previous instance replaced the new one")
 	assert.Equal(t, len(restarted), 0)
 	c.Put(earlier, clock.Now())
 	clock.Advance(earlierGrace / 2)
 	c.Put(earlier, clock.Now())
 	clock.Advance(earlierGrace / 2)
 	c.Sweep(clock.Now())
-	assert.Assert(t, c.Runner("r1").Born.Equal(early) && c.Runner("r1").Holds("m"), "the description with the earlier start time never took effect")
+	assert.Assert(t, c.Runner("r1").StartedAt.Equal(early) && c.Runner("r1").Holds("m"), "the description with the earlier start time never took effect")
 	assert.Equal(t, len(restarted), 1)
 }
 
--- a/state/directory/directory.go
+++ b/state/directory/directory.go
@@ -16,17 +16,17 @@
 
 // Report is an owner's report on one runner.
 type Report struct {
-	Runner  string
-	Place   string // data centre
-	Owner   string
-	Service string   // of a plain endpoint
-	Models  []string // ready and not about to be evicted
-	Slots   int
-	Running int
-	Queued  int
-	Wait    time.Duration // expected, until a new request of class normal would start
-	Leaving bool
-	At      time.Time // when the report was made
+	Runner     string
+	DataCentre string // data centre
+	Owner      string
+	Service    string   // of a plain endpoint
+	Models     []string // ready and not about to be evicted
+	Slots      int
+	Running    int
+	Queued     int
+	Wait       time.Duration // expected, until a new request of class normal would start
+	Leaving    bool
+	At         time.Time // when the report was made
 }
 
 // Directory holds reports. It is safe for concurrent use.
--- a/state/hold/hold_test.go
+++ b/state/hold/hold_test.go
@@ -36,21 +36,21 @@
 		at     time.Duration // time of reading by the clock of the reader
 		left   time.Duration
 	}{
-		{"received at once", Told, time.Minute, 9 * time.Minute},
-		{"received by a daemon whose clock is an hour ahead", Told, time.Hour, 9 * time.Minute},
-		{"stored for three minutes", Stored, 3 * time.Minute, 7 * time.Minute},
-		{"stored until after the hold expired", Stored, time.Hour, 0},
-		{"stored, and read by a daemon whose clock is an hour behind", Stored, -time.Hour, 10 * time.Minute},
+		{"received at once", DecodeReceived, time.Minute, 9 * time.Minute},
+		{"received by a daemon whose clock is an hour ahead", DecodeReceived, time.Hour, 9 * time.Minute},
+		{"stored for three minutes", DecodeStored, 3 * time.Minute, 7 * time.Minute},
+		{"stored until after the hold expired", DecodeStored, time.Hour, 0},
+		{"stored, and read by a daemon whose clock is an hour behind", DecodeStored, -time.Hour, 10 * time.Minute},
 	} {
 		at := now.Add(tt.at)
 		got, err := tt.decode(data, at)
 		assert.NilError(t, err)
-		assert.Equal(t, got.Left(at), tt.left, tt.name)
+		assert.Equal(t, got.Remaining(at), tt.left, tt.name)
 		assert.Equal(t, got.Digest, r.Digest)
 		assert.Equal(t, got.Runners, 4)
 	}
 	for _, text := range []string{`{}`, `""`, `{"version":1,"state":"none"}`, `{"version":0,"state":"held"}`, `{"version":1,"state":"held","digest":"zz"}`} {
-		_, err := Told([]byte(text), now)
+		_, err := DecodeReceived([]byte(text), now)
 		assert.Assert(t, errors.Is(err, core.ErrInvalid), text)
 	}
 }
@@ -62,7 +62,7 @@
 	assert.Assert(t, table.Merge(held(1, 1, now)))
 	assert.Assert(t, !table.Merge(held(1, 1, now.Add(time.Minute))))
 	released := held(1, 0, now)
-	released.Release(ByWork, now)
+	released.Release(BySuccess, now)
 	assert.Assert(t, table.Merge(released), "of two decisions of one version the release must win")
 	assert.Assert(t, !table.Merge(held(1, 1, now)))
 	assert.Assert(t, table.Merge(held(1, 2, now)))
--- a/state/hold/record.go
+++ b/state/hold/record.go
@@ -20,8 +20,8 @@
 // be the cause. The second is longer than callers keep sending the request again.
 var durations = []time.Duration{5 * time.Second, 10 * time.Minute, time.Hour}
 
-// Term returns how long a request is held back at a level. Levels count from 0.
-func Term(level int) time.Duration { return durations[max(0, min(level, len(durations)-1))] }
+// Duration returns how long a request is held back at a level. Levels count from 0.
+func Duration(level int) time.Duration { return durations[max(0, min(level, len(durations)-1))] }
 
 // State is the state of the request of a record.
 type State string
@@ -32,13 +32,13 @@
 	StateReleased State = "released"
 )
 
-// By is the reason for which a request was released.
-type By string
+// ReleaseReason is the reason for which a request was released.
+type ReleaseReason string
 
 // Reasons for a release.
 const (
-	ByWork     By = "work"     // the request was served
-	ByOperator By = "operator" // an operator released it
+	BySuccess  ReleaseReason = "work"     // the request was served
+	ByOperator ReleaseReason = "operator" // an operator released it
 )
 
 // Record is the hold of one request that is or was held back. It identifies the request
@@ -47,26 +47,26 @@
 	Digest  core.Digest
 	Version uint64 // increases with each decision
 	State   State
-	By      By     // reason of a release, else empty
-	Level   int    // number of earlier holds of the request
-	Route   string // route of the request
+	By      ReleaseReason // reason of a release, else empty
+	Level   int           // number of earlier holds of the request
+	Route   string        // route of the request
 	Service string
 	Runners int       // runners that exited under the request
 	Since   time.Time // start of the latest hold
 	Until   time.Time // end of the hold by this daemon's clock; then one trial is allowed
 }
 
-// Left returns how much longer the request is held back; 0 if a trial is allowed.
-func (r *Record) Left(now time.Time) time.Duration { return max(0, r.Until.Sub(now)) }
+// Remaining returns how much longer the request is held back; 0 if a trial is allowed.
+func (r *Record) Remaining(now time.Time) time.Duration { return max(0, r.Until.Sub(now)) }
 
 // Hold updates the record to a new decision: the request is held back from now on.
 func (r *Record) Hold(now time.Time) {
 	r.Version++
-	r.State, r.By, r.Since, r.Until = StateHeld, "", now, now.Add(Term(r.Level))
+	r.State, r.By, r.Since, r.Until = StateHeld, "", now, now.Add(Duration(r.Level))
 }
 
 // Release updates the record to a new decision: the request is no longer held back.
-func (r *Record) Release(by By, now time.Time) {
+func (r *Record) Release(by ReleaseReason, now time.Time) {
 	r.Version++
 	r.State, r.By, r.Until = StateReleased, by, now
 }
@@ -86,36 +86,36 @@
 
 // encodedRecord is the JSON form of a Record in messages between daemons and in the store.
 type encodedRecord struct {
-	Digest  core.Digest `json:"digest"`
-	Version uint64      `json:"version"`
-	State   State       `json:"state"`
-	By      By          `json:"by,omitempty"`
-	Level   int         `json:"level,omitempty"`
-	Route   string      `json:"route"`
-	Service string      `json:"service"`
-	Runners int         `json:"runners"`
-	Since   int64       `json:"since"` // Unix milliseconds
-	Until   int64       `json:"until"` // Unix milliseconds by the writer's clock
-	Left    int64       `json:"left"`  // milliseconds from the time of writing to Until
+	Digest  core.Digest   `json:"digest"`
+	Version uint64        `json:"version"`
+	State   State         `json:"state"`
+	By      ReleaseReason `json:"by,omitempty"`
+	Level   int           `json:"level,omitempty"`
+	Route   string        `json:"route"`
+	Service string        `json:"service"`
+	Runners int           `json:"runners"`
+	Since   int64         `json:"since"` // Unix milliseconds
+	Until   int64         `json:"until"` // Unix milliseconds by the writer's clock
+	Left    int64         `json:"left"`  // milliseconds from the time of writing to Until
 }
 
 // Encode returns the JSON form of a record, with Left as of now.
 func Encode(r *Record, now time.Time) (json.RawMessage, error) {
 	return json.Marshal(encodedRecord{
 		Digest: r.Digest, Version: r.Version, State: r.State, By: r.By, Level: r.Level, Route: r.Route, Service: r.Service,
-		Runners: r.Runners, Since: r.Since.UnixMilli(), Until: r.Until.UnixMilli(), Left: r.Left(now).Milliseconds(),
+		Runners: r.Runners, Since: r.Since.UnixMilli(), Until: r.Until.UnixMilli(), Left: r.Remaining(now).Milliseconds(),
 	})
 }
 
-// Told decodes a record that another daemon has just sent. It computes Until from the
+// DecodeReceived decodes a record that another daemon has just sent. It computes Until from the
 // time left, so that clock differences do not matter. Its error is core.ErrInvalid.
-func Told(data []byte, now time.Time) (*Record, error) {
+func DecodeReceived(data []byte, now time.Time) (*Record, error) {
 	return decode(data, now, func(m *encodedRecord) time.Duration { return milliseconds(m.Left) })
 }
 
-// Stored decodes a record that was written some time ago, by a clock that may differ from
+// DecodeStored decodes a record that was written some time ago, by a clock that may differ from
 // this daemon's. It uses the stored Until. Its error is core.ErrInvalid.
-func Stored(data []byte, now time.Time) (*Record, error) {
+func DecodeStored(data []byte, now time.Time) (*Record, error) {
 	return decode(data, now, func(m *encodedRecord) time.Duration { return time.UnixMilli(m.Until).Sub(now) })
 }
 
@@ -134,6 +134,6 @@
 		Runners: m.Runners, Since: time.UnixMilli(m.Since),
 	}
 	// A wrong clock must not hold a request back for longer than its level's duration.
-	r.Until = now.Add(min(max(0, left(&m)), Term(r.Level)))
+	r.Until = now.Add(min(max(0, left(&m)), Duration(r.Level)))
 	return r, nil
 }
--- a/state/tree/check.go
+++ b/state/tree/check.go
@@ -22,22 +22,22 @@
 // maxLog bounds the edits kept with a branch.
 const maxLog = 10
 
-// Stored is the body of a branch's object.
-type Stored struct {
+// BranchBody is the body of a branch's object.
+type BranchBody struct {
 	Node *Node  `json:"node"`
 	Log  []Edit `json:"log"` // newest first
 }
 
 // Add prepends an edit to the log and drops the oldest beyond maxLog.
-func (s *Stored) Add(e Edit) {
+func (s *BranchBody) Add(e Edit) {
 	s.Log = append([]Edit{e}, s.Log...)
 	s.Log = s.Log[:min(len(s.Log), maxLog)]
 }
 
 // ParseBranch decodes the body of a branch. Its error lists all faults of the JSON
 // structure.
-func ParseBranch(body []byte) (*Stored, error) {
-	s := &Stored{}
+func ParseBranch(body []byte) (*BranchBody, error) {
+	s := &BranchBody{}
 	if err := strict.Decode(body, s); err != nil {
 		return nil, err
 	}
@@ -84,8 +84,8 @@
 	for _, o := range opts {
 		o(&c)
 	}
-	if root := branches[Root]; root != nil && root.Set.Places != nil {
-		for _, p := range *root.Set.Places {
+	if root := branches[Root]; root != nil && root.Set.DataCentres != nil {
+		for _, p := range *root.Set.DataCentres {
 			c.dataCentres[p] = true
 		}
 	}
@@ -135,7 +135,7 @@
 }
 
 func (c *checker) values(p Path, s *Settings) {
-	if s.Concurrency < 0 || s.Rate < 0 || s.Moves < 0 || s.Attainment < 0 {
+	if s.Concurrency < 0 || s.Rate < 0 || s.MoveCost < 0 || s.Attainment < 0 {
 		c.add(p, "set", "limits and weights must not be negative")
 	}
 	if s.Class != "" && !s.Class.Valid() {
@@ -146,10 +146,10 @@
 			c.add(p, "set.targets", "unknown class %q; want urgent, normal or batch", class)
 		}
 	}
-	if s.Places == nil {
+	if s.DataCentres == nil {
 		return
 	}
-	for _, dataCentre := range *s.Places {
+	for _, dataCentre := range *s.DataCentres {
 		if len(p) > 0 && !c.knownDataCentre(dataCentre) {
 			c.add(p, "set.places", "place %q is not among the root's places", dataCentre)
 		}
@@ -168,10 +168,10 @@
 			parent.fold(n.path.String(), &n.node.Set)
 		}
 	}
-	if s.Places != nil && !parent.AnyPlace {
-		for _, dataCentre := range *s.Places {
+	if s.DataCentres != nil && !parent.AnyDataCentre {
+		for _, dataCentre := range *s.DataCentres {
 			if !parent.Allows(dataCentre) {
-				c.add(p, "set.places", "widens: has %q, %s allows %v", dataCentre, parent.Origin["places"], parent.Places)
+				c.add(p, "set.places", "widens: has %q, %s allows %v", dataCentre, parent.Origin["places"], parent.DataCentres)
 			}
 		}
 	}
@@ -179,17 +179,17 @@
 	widens(c, p, parent, "rate", s.Rate, parent.Rate)
 	widens(c, p, parent, "body", int64(s.Body), parent.Body)
 	widens(c, p, parent, "deadline", time.Duration(s.Deadline), parent.Deadline)
-	widens(c, p, parent, "stall", time.Duration(s.Stall), parent.Stall)
-	widens(c, p, parent, "fresh", time.Duration(s.Fresh), parent.Fresh)
+	widens(c, p, parent, "stall", time.Duration(s.StallTimeout), parent.StallTimeout)
+	widens(c, p, parent, "fresh", time.Duration(s.MaxUnconfirmed), parent.MaxUnconfirmed)
 	widens(c, p, parent, "attainment", s.Attainment, parent.Attainment)
 	for _, class := range sortedKeys(s.Targets) {
 		widens(c, p, parent, "targets."+class, time.Duration(s.Targets[class]), parent.Target(core.Class(class)))
 	}
-	if s.Repeat != nil && *s.Repeat && !parent.Repeat {
+	if s.Repeatable != nil && *s.Repeatable && !parent.Repeatable {
 		c.add(p, "set.repeat", "widens: true, %s has false", parent.Origin["repeat"])
 	}
-	if s.Moves > 0 && parent.Origin["moves"] != "" && s.Moves < parent.Moves {
-		c.add(p, "set.moves", "widens: %v, %s has %v", s.Moves, parent.Origin["moves"], parent.Moves)
+	if s.MoveCost > 0 && parent.Origin["moves"] != "" && s.MoveCost < parent.MoveCost {
+		c.add(p, "set.moves", "widens: %v, %s has %v", s.MoveCost, parent.Origin["moves"], parent.MoveCost)
 	}
 	if s.Class != "" && parent.Origin["class"] != "" && s.Class.Rank() < parent.Class.Rank() {
 		c.add(p, "set.class", "widens: %s, %s has %s", s.Class, parent.Origin["class"], parent.Class)
@@ -258,8 +258,8 @@
 	if _, err := netip.ParseAddrPort(e.Addr); err != nil {
 		c.add(p, field+".addr", "want IP:port, got %q", e.Addr)
 	}
-	if e.Place == "" || !c.knownDataCentre(e.Place) {
-		c.add(p, field+".place", "place %q is not among the root's places", e.Place)
+	if e.DataCentre == "" || !c.knownDataCentre(e.DataCentre) {
+		c.add(p, field+".place", "place %q is not among the root's places", e.DataCentre)
 	}
 	if e.Slots <= 0 {
 		c.add(p, field+".slots", "must be above zero")
--- a/state/tree/node.go
+++ b/state/tree/node.go
@@ -21,18 +21,18 @@
 
 // Settings are the settings that a node sets. A nil or zero field is inherited.
 type Settings struct {
-	Places      *[]string                `json:"places,omitempty"`      // data centres where requests may be served
-	Concurrency int                      `json:"concurrency,omitempty"` // requests in progress per entry
-	Rate        float64                  `json:"rate,omitempty"`        // requests per second per entry
-	Body        core.Bytes               `json:"body,omitempty"`        // size limit of a request body
-	Deadline    core.Duration            `json:"deadline,omitempty"`    // total time for a request
-	Stall       core.Duration            `json:"stall,omitempty"`       // longest time for which an endpoint may send nothing
-	Targets     map[string]core.Duration `json:"targets,omitempty"`     // time to first byte, per class
-	Class       core.Class               `json:"class,omitempty"`       // class of requests that name none
-	Repeat      *bool                    `json:"repeat,omitempty"`      // whether a request may run twice
-	Fresh       core.Duration            `json:"fresh,omitempty"`       // requests are refused if the settings have been unconfirmed for longer
-	Moves       float64                  `json:"moves,omitempty"`       // cost of a move, in requests that meet their target
-	Attainment  float64                  `json:"attainment,omitempty"`  // weight of a request that meets its target
+	DataCentres    *[]string                `json:"places,omitempty"`      // data centres where requests may be served
+	Concurrency    int                      `json:"concurrency,omitempty"` // requests in progress per entry
+	Rate           float64                  `json:"rate,omitempty"`        // requests per second per entry
+	Body           core.Bytes               `json:"body,omitempty"`        // size limit of a request body
+	Deadline       core.Duration            `json:"deadline,omitempty"`    // total time for a request
+	StallTimeout   core.Duration            `json:"stall,omitempty"`       // longest time for which an endpoint may send nothing
+	Targets        map[string]core.Duration `json:"targets,omitempty"`     // time to first byte, per class
+	Class          core.Class               `json:"class,omitempty"`       // class of requests that name none
+	Repeatable     *bool                    `json:"repeat,omitempty"`      // whether a request may run twice
+	MaxUnconfirmed core.Duration            `json:"fresh,omitempty"`       // requests are refused if the settings have been unconfirmed for longer
+	MoveCost       float64                  `json:"moves,omitempty"`       // cost of a move, in requests that meet their target
+	Attainment     float64                  `json:"attainment,omitempty"`  // weight of a request that meets its target
 }
 
 // Model describes a model or adapter to the planner.
@@ -46,9 +46,9 @@
 // CallRule says whether calls to a plain service are repeatable. The first rule whose
 // method and path prefix match applies.
 type CallRule struct {
-	Method string `json:"method"`
-	Path   string `json:"path"` // prefix
-	Repeat bool   `json:"repeat"`
+	Method     string `json:"method"`
+	Path       string `json:"path"` // prefix
+	Repeatable bool   `json:"repeat"`
 }
 
 // Service describes a service node.
@@ -65,15 +65,15 @@
 
 // Endpoint describes one endpoint.
 type Endpoint struct {
-	Addr    string     `json:"addr"`              // IP:port
-	Place   string     `json:"place"`             // data centre
-	Kind    string     `json:"kind"`              // "model" or "plain"
-	Service string     `json:"service,omitempty"` // of a plain endpoint
-	Memory  core.Bytes `json:"memory,omitempty"`  // of its accelerators
-	Cache   core.Bytes `json:"cache,omitempty"`   // part of Memory reserved for the KV cache
-	Slots   int        `json:"slots"`             // requests that it runs concurrently
-	Fenced  bool       `json:"fenced,omitempty"`  // the endpoint refuses orders with old fencing numbers
-	Drain   bool       `json:"drain,omitempty"`   // the endpoint gets no new work
+	Addr       string     `json:"addr"`              // IP:port
+	DataCentre string     `json:"place"`             // data centre
+	Kind       string     `json:"kind"`              // "model" or "plain"
+	Service    string     `json:"service,omitempty"` // of a plain endpoint
+	Memory     core.Bytes `json:"memory,omitempty"`  // of its accelerators
+	Cache      core.Bytes `json:"cache,omitempty"`   // part of Memory reserved for the KV cache
+	Slots      int        `json:"slots"`             // requests that it runs concurrently
+	Fenced     bool       `json:"fenced,omitempty"`  // the endpoint refuses orders with old fencing numbers
+	Drain      bool       `json:"drain,omitempty"`   // the endpoint gets no new work
 }
 
 // Store holds the limits of the weight store and the switch that pauses the planner.
@@ -143,16 +143,16 @@
 	return n
 }
 
-// Coord is what a request or a decision is for. An empty field matches only nodes whose
+// Selector is what a request or a decision is for. An empty field matches only nodes whose
 // path has no element of that kind.
-type Coord struct {
-	Service string
-	Model   string
-	Place   string // data centre
+type Selector struct {
+	Service    string
+	Model      string
+	DataCentre string // data centre
 }
 
 // match reports whether a node at path p applies to c.
-func (c Coord) match(p Path) bool {
+func (c Selector) match(p Path) bool {
 	for _, elem := range p {
 		kind, name, _ := strings.Cut(elem, "/")
 		switch kind {
@@ -165,7 +165,7 @@
 				return false
 			}
 		case ElemDataCentre:
-			if c.Place != name {
+			if c.DataCentre != name {
 				return false
 			}
 		}
--- a/state/tree/tree.go
+++ b/state/tree/tree.go
@@ -167,25 +167,25 @@
 // Effective holds the settings in force for a Coord, with the path of the node that set
 // each value. A limit of 0 means unlimited.
 type Effective struct {
-	AnyPlace    bool     // no node restricts the data centres
-	Places      []string // allowed data centres unless AnyPlace
-	Concurrency int
-	Rate        float64
-	Body        int64
-	Deadline    time.Duration
-	Stall       time.Duration
-	Targets     [3]time.Duration // by class rank
-	Class       core.Class
-	Repeat      bool
-	Fresh       time.Duration // 0: no limit
-	Moves       float64
-	Attainment  float64
-	Origin      map[string]string // name of the setting to path of the node
+	AnyDataCentre  bool     // no node restricts the data centres
+	DataCentres    []string // allowed data centres unless AnyPlace
+	Concurrency    int
+	Rate           float64
+	Body           int64
+	Deadline       time.Duration
+	StallTimeout   time.Duration
+	Targets        [3]time.Duration // by class rank
+	Class          core.Class
+	Repeatable     bool
+	MaxUnconfirmed time.Duration // 0: no limit
+	MoveCost       float64
+	Attainment     float64
+	Origin         map[string]string // name of the setting to path of the node
 }
 
 // Allows reports whether requests may be served in a data centre.
 func (e *Effective) Allows(dataCentre string) bool {
-	return e.AnyPlace || slices.Contains(e.Places, dataCentre)
+	return e.AnyDataCentre || slices.Contains(e.DataCentres, dataCentre)
 }
 
 // Target returns the target of a class for the time to first byte.
@@ -194,13 +194,13 @@
 // Effective returns the settings in force for a Coord. It folds all nodes that match:
 // the result has the intersection of the allowed data centres and the lowest limits, so
 // the order of the nodes does not matter.
-func (t *Tree) Effective(c Coord) *Effective {
+func (t *Tree) Effective(c Selector) *Effective {
 	if e, ok := t.cache.Load(c); ok {
 		return e.(*Effective)
 	}
 	e := defaults()
 	if t.overlay {
-		e = &Effective{AnyPlace: true, Repeat: true, Origin: map[string]string{}}
+		e = &Effective{AnyDataCentre: true, Repeatable: true, Origin: map[string]string{}}
 	}
 	for _, n := range t.nodes {
 		if c.match(n.path) {
@@ -213,49 +213,49 @@
 
 // Allowed returns the effective settings for serving in the data centre of c, and whether
 // that data centre is allowed.
-func (t *Tree) Allowed(c Coord) (*Effective, bool) {
+func (t *Tree) Allowed(c Selector) (*Effective, bool) {
 	e := t.Effective(c)
-	return e, e.Allows(c.Place)
+	return e, e.Allows(c.DataCentre)
 }
 
 func defaults() *Effective {
 	return &Effective{
-		AnyPlace:    true,
-		Concurrency: defaultConcurrency,
-		Body:        defaultBody,
-		Deadline:    defaultDeadline,
-		Stall:       defaultStall,
-		Targets:     [3]time.Duration{defaultTarget, 3 * defaultTarget, 30 * defaultTarget},
-		Class:       core.ClassNormal,
-		Repeat:      true,
-		Moves:       1,
-		Attainment:  1,
-		Origin:      map[string]string{},
+		AnyDataCentre: true,
+		Concurrency:   defaultConcurrency,
+		Body:          defaultBody,
+		Deadline:      defaultDeadline,
+		StallTimeout:  defaultStall,
+		Targets:       [3]time.Duration{defaultTarget, 3 * defaultTarget, 30 * defaultTarget},
+		Class:         core.ClassNormal,
+		Repeatable:    true,
+		MoveCost:      1,
+		Attainment:    1,
+		Origin:        map[string]string{},
 	}
 }
 
 // fold narrows e by the settings of the node at path.
 func (e *Effective) fold(path string, s *Settings) {
-	if s.Places != nil {
-		e.narrowDataCentres(path, *s.Places)
+	if s.DataCentres != nil {
+		e.narrowDataCentres(path, *s.DataCentres)
 	}
 	lower(e, path, "concurrency", &e.Concurrency, s.Concurrency)
 	lower(e, path, "rate", &e.Rate, s.Rate)
 	lower(e, path, "body", &e.Body, int64(s.Body))
 	lower(e, path, "deadline", &e.Deadline, time.Duration(s.Deadline))
-	lower(e, path, "stall", &e.Stall, time.Duration(s.Stall))
-	lower(e, path, "fresh", &e.Fresh, time.Duration(s.Fresh))
+	lower(e, path, "stall", &e.StallTimeout, time.Duration(s.StallTimeout))
+	lower(e, path, "fresh", &e.MaxUnconfirmed, time.Duration(s.MaxUnconfirmed))
 	for class, d := range s.Targets {
 		lower(e, path, "targets."+class, &e.Targets[core.Class(class).Rank()], time.Duration(d))
 	}
 	if s.Class != "" && (e.Origin["class"] == "" || s.Class.Rank() > e.Class.Rank()) {
 		e.Class, e.Origin["class"] = s.Class, path
 	}
-	if s.Repeat != nil && e.Repeat && !*s.Repeat {
-		e.Repeat, e.Origin["repeat"] = false, path
+	if s.Repeatable != nil && e.Repeatable && !*s.Repeatable {
+		e.Repeatable, e.Origin["repeat"] = false, path
 	}
-	if s.Moves > e.Moves {
-		e.Moves, e.Origin["moves"] = s.Moves, path
+	if s.MoveCost > e.MoveCost {
+		e.MoveCost, e.Origin["moves"] = s.MoveCost, path
 	}
 	if s.Attainment > 0 && (e.Origin["attainment"] == "" || s.Attainment < e.Attainment) {
 		e.Attainment, e.Origin["attainment"] = s.Attainment, path
@@ -263,17 +263,17 @@
 }
 
 func (e *Effective) narrowDataCentres(path string, dataCentres []string) {
-	if e.AnyPlace {
-		e.AnyPlace = false
-		e.Places = slices.Clone(dataCentres)
+	if e.AnyDataCentre {
+		e.AnyDataCentre = false
+		e.DataCentres = slices.Clone(dataCentres)
 		e.Origin["places"] = path
 		return
 	}
-	kept := slices.DeleteFunc(slices.Clone(e.Places), func(p string) bool {
+	kept := slices.DeleteFunc(slices.Clone(e.DataCentres), func(p string) bool {
 		return !slices.Contains(dataCentres, p)
 	})
-	if len(kept) < len(e.Places) {
-		e.Places = kept
+	if len(kept) < len(e.DataCentres) {
+		e.DataCentres = kept
 		e.Origin["places"] = path
 	}
 }
@@ -294,15 +294,15 @@
 	s := t.services[service]
 	for _, rule := range s.Calls {
 		if rule.Method == method && strings.HasPrefix(path, rule.Path) {
-			return rule.Repeat
+			return rule.Repeatable
 		}
 	}
 	return method == "GET" || method == "HEAD"
 }
 
-// Order returns the names of branches in the order in which they must be written: the
+// WriteOrder returns the names of branches in the order in which they must be written: the
 // root first, since the others are checked against it, then all others by name.
-func Order(branches map[string]*Node) []string {
+func WriteOrder(branches map[string]*Node) []string {
 	names := sortedKeys(branches)
 	slices.SortStableFunc(names, func(a, b string) int {
 		switch {
--- a/state/tree/tree_test.go
+++ b/state/tree/tree_test.go
@@ -56,14 +56,14 @@
 	assert.Assert(t, errors.Is(err, core.ErrInvalid))
 	golden.Assert(t, err.Error()+"\n", "shape.golden")
 	root := &Node{
-		Set:       Settings{Places: dataCentres("a", "b"), Concurrency: 5, Repeat: new(bool)},
-		Endpoints: map[string]Endpoint{"e": {Addr: "host:1", Place: "c", Kind: "gpu"}},
+		Set:       Settings{DataCentres: dataCentres("a", "b"), Concurrency: 5, Repeatable: new(bool)},
+		Endpoints: map[string]Endpoint{"e": {Addr: "host:1", DataCentre: "c", Kind: "gpu"}},
 		Children: map[string]*Node{
 			"service/s": {
 				Service: &Service{Kind: "fast"},
-				Set:     Settings{Places: dataCentres("a", "c"), Concurrency: 6, Class: "soon"},
+				Set:     Settings{DataCentres: dataCentres("a", "c"), Concurrency: 6, Class: "soon"},
 				Children: map[string]*Node{
-					"model/m": {Set: Settings{Places: dataCentres("b")}},
+					"model/m": {Set: Settings{DataCentres: dataCentres("b")}},
 					"place/z": {},
 				},
 			},
@@ -71,7 +71,7 @@
 		},
 	}
 	repeat := true
-	root.Children["service/s"].Set.Repeat = &repeat
+	root.Children["service/s"].Set.Repeatable = &repeat
 	golden.Assert(t, Check(Split(root)).Error()+"\n", "check.golden")
 }
 
@@ -84,13 +84,13 @@
 		root := drawNode(t, all, 0, []string{"service/s", "model/m", "place/a"})
 		branches := Split(root)
 		tree := New(branches)
-		coord := Coord{Service: "s", Model: "m", Place: rapid.SampledFrom(all).Draw(t, "place")}
+		coord := Selector{Service: "s", Model: "m", DataCentre: rapid.SampledFrom(all).Draw(t, "place")}
 		e := tree.Effective(coord)
 		// The expected values come from a walk over all nodes on matching paths.
 		allowed, limit := true, 0
 		var walk func(n *Node)
 		walk = func(n *Node) {
-			if n.Set.Places != nil && !slices.Contains(*n.Set.Places, coord.Place) {
+			if n.Set.DataCentres != nil && !slices.Contains(*n.Set.DataCentres, coord.DataCentre) {
 				allowed = false
 			}
 			if c := n.Set.Concurrency; c > 0 && (limit == 0 || c < limit) {
@@ -106,7 +106,7 @@
 		if limit == 0 {
 			limit = defaultConcurrency
 		}
-		assert.Equal(t, e.Allows(coord.Place), allowed)
+		assert.Equal(t, e.Allows(coord.DataCentre), allowed)
 		assert.Equal(t, e.Concurrency, limit)
 	})
 }
@@ -115,7 +115,7 @@
 	n := &Node{}
 	if rapid.Bool().Draw(t, "has places") {
 		sub := rapid.SliceOfNDistinct(rapid.SampledFrom(all), 1, 3, rapid.ID[string]).Draw(t, "places")
-		n.Set.Places = &sub
+		n.Set.DataCentres = &sub
 	}
 	if rapid.Bool().Draw(t, "has limit") {
 		n.Set.Concurrency = rapid.IntRange(1, 2000).Draw(t, "limit")
@@ -146,9 +146,9 @@
 			}
 		}
 		tree := New(branches)
-		parent := tree.Effective(Coord{Service: "s"})
+		parent := tree.Effective(Selector{Service: "s"})
 		for _, dataCentre := range all {
-			child := tree.Effective(Coord{Service: "s", Model: "m", Place: dataCentre})
+			child := tree.Effective(Selector{Service: "s", Model: "m", DataCentre: dataCentre})
 			// A child may exceed a default, since no node has set it.
 			assert.Assert(t, parent.Origin["concurrency"] == "" || child.Concurrency <= parent.Concurrency)
 			assert.Assert(t, !child.Allows(dataCentre) || parent.Allows(dataCentre))
@@ -157,7 +157,7 @@
 }
 
 func stored(version int) []byte {
-	data, _ := json.Marshal(Stored{Node: &Node{Set: Settings{Concurrency: version}}})
+	data, _ := json.Marshal(BranchBody{Node: &Node{Set: Settings{Concurrency: version}}})
 	return data
 }
 
@@ -236,14 +236,14 @@
 // not grow with the number of models.
 func BenchmarkEffective(b *testing.B) {
 	for _, n := range []int{15, 150, 1800} {
-		root := &Node{Set: Settings{Places: dataCentres("a", "b")}, Children: map[string]*Node{}}
+		root := &Node{Set: Settings{DataCentres: dataCentres("a", "b")}, Children: map[string]*Node{}}
 		for i := range n {
 			root.Children[fmt.Sprintf("model/m%d", i)] = &Node{Model: &Model{Version: "1", Memory: 1}}
 		}
 		tree := New(Split(root))
 		b.Run(fmt.Sprintf("models=%d", n), func(b *testing.B) {
 			b.ReportAllocs()
-			c := Coord{Model: "m7", Place: "a"}
+			c := Selector{Model: "m7", DataCentre: "a"}
 			for b.Loop() {
 				if _, ok := tree.Allowed(c); !ok {
 					b.Fatal("not allowed")
@@ -274,18 +274,18 @@
 func BenchmarkApply(b *testing.B) {
 	r := NewReplica()
 	put := func(name string, version uint64, n *Node) {
-		data, _ := json.Marshal(Stored{Node: n})
+		data, _ := json.Marshal(BranchBody{Node: n})
 		r.Apply([]Branch{{Name: name, Version: version, Body: data}})
 	}
 	var all []string
 	for i := range 19 {
 		all = append(all, fmt.Sprint("place-", i))
 	}
-	put(Root, 1, &Node{Set: Settings{Places: &all}})
+	put(Root, 1, &Node{Set: Settings{DataCentres: &all}})
 	for i, dataCentre := range all {
 		n := &Node{Endpoints: map[string]Endpoint{}}
 		for k := range 526 {
-			n.Endpoints[fmt.Sprintf("e-%d-%d", i, k)] = Endpoint{Addr: "127.0.0.1:1", Place: dataCentre, Kind: KindModel, Memory: 640e9, Slots: 64}
+			n.Endpoints[fmt.Sprintf("e-%d-%d", i, k)] = Endpoint{Addr: "127.0.0.1:1", DataCentre: dataCentre, Kind: KindModel, Memory: 640e9, Slots: 64}
 		}
 		put("place/"+dataCentre, 1, n)
 	}
@@ -307,24 +307,24 @@
 func TestOverlayOnlyNarrows(t *testing.T) {
 	r := NewReplica(WithOverlay())
 	assert.Assert(t, r.Tree() == nil, "no branch or list has arrived yet")
-	r.Adopt(nil, 3)
+	r.ApplyList(nil, 3)
 	assert.Assert(t, r.Tree() != nil && r.Tree().Empty())
-	e := r.Tree().Effective(Coord{Service: "s"})
+	e := r.Tree().Effective(Selector{Service: "s"})
 	assert.Equal(t, e.Concurrency, 0)
 	assert.Equal(t, e.Body, int64(0))
 	assert.Equal(t, e.Deadline, time.Duration(0))
-	assert.Assert(t, e.Repeat && e.Allows("anywhere"))
+	assert.Assert(t, e.Repeatable && e.Allows("anywhere"))
 	r.Apply([]Branch{{Name: "service/s", Version: 4, Body: stored(9)}})
-	assert.Equal(t, r.Tree().Effective(Coord{Service: "s"}).Concurrency, 9)
-	assert.Equal(t, r.Tree().Effective(Coord{Service: "other"}).Concurrency, 0)
+	assert.Equal(t, r.Tree().Effective(Selector{Service: "s"}).Concurrency, 9)
+	assert.Equal(t, r.Tree().Effective(Selector{Service: "other"}).Concurrency, 0)
 }
 
 // Guards against a deleted branch that reappears, or a new branch that is lost, when a list
 // of the store is applied over branches that are newer than it.
-func TestListsDeleteWhatTheyLack(t *testing.T) {
+func TestListDeletesMissingBranches(t *testing.T) {
 	r := NewReplica(WithOverlay())
 	r.Apply([]Branch{{Name: "service/old", Version: 4, Body: stored(4)}, {Name: "service/new", Version: 9, Body: stored(9)}})
-	r.Adopt([]Branch{{Name: "service/kept", Version: 5, Body: stored(5)}}, 7)
+	r.ApplyList([]Branch{{Name: "service/kept", Version: 5, Body: stored(5)}}, 7)
 	nodes := r.Nodes()
 	assert.Assert(t, nodes["service/old"] == nil && nodes["service/new"] != nil && nodes["service/kept"] != nil, "%v", nodes)
 	r.Apply([]Branch{{Name: "service/old", Version: 4, Body: stored(4)}})
--- a/state/tree/versions.go
+++ b/state/tree/versions.go
@@ -119,10 +119,10 @@
 	return applied
 }
 
-// Adopt applies the store's complete list of branches as of a version and returns the
+// ApplyList applies the store's complete list of branches as of a version and returns the
 // branches that changed. A branch that is not in the list has been deleted, unless it is
 // newer than the list.
-func (s *Replica) Adopt(branches []Branch, version uint64) []Branch {
+func (s *Replica) ApplyList(branches []Branch, version uint64) []Branch {
 	s.mu.Lock()
 	listed := make(map[string]bool, len(branches))
 	for _, b := range branches {
--- a/transport/admin/admin.go
+++ b/transport/admin/admin.go
@@ -66,9 +66,9 @@
 
 // Problem is the body of an error answer.
 type Problem struct {
-	Error    string       `json:"error"`
-	Problems []string     `json:"problems,omitempty"`
-	Winner   *service.Got `json:"winner,omitempty"`
+	Error    string             `json:"error"`
+	Problems []string           `json:"problems,omitempty"`
+	Winner   *service.NodeState `json:"winner,omitempty"`
 }
 
 // EditBody is the body of an edit.
@@ -185,7 +185,7 @@
 
 func (a *Admin) explain(w http.ResponseWriter, r *http.Request) {
 	q := r.URL.Query()
-	got, err := a.Trees.Explain(tree.Coord{Service: q.Get("service"), Model: q.Get("model"), Place: q.Get("place")})
+	got, err := a.Trees.Explain(tree.Selector{Service: q.Get("service"), Model: q.Get("model"), DataCentre: q.Get("place")})
 	answer(w, got, err)
 }
 
@@ -243,7 +243,7 @@
 func fail(w http.ResponseWriter, err error) {
 	p := Problem{Error: err.Error()}
 	var problems strict.Problems
-	var lost *service.Lost
+	var lost *service.ConflictError
 	switch {
 	case errors.As(err, &problems):
 		p.Error = "the settings are refused"
--- a/transport/front/directory.go
+++ b/transport/front/directory.go
@@ -31,7 +31,7 @@
 		if p.Leaving || !p.Ready {
 			continue
 		}
-		if p.Place == dataCentre {
+		if p.DataCentre == dataCentre {
 			near = append(near, p.Caller)
 		} else {
 			far = append(far, p.Caller)
--- a/transport/front/front_test.go
+++ b/transport/front/front_test.go
@@ -149,7 +149,7 @@
 func (b broken) Read(p []byte) (int, error) {
 	n, err := b.Reader.Read(p)
 	if err == io.EOF {
-		err = core.ErrLost
+		err = core.ErrAnswerLost
 	}
 	return n, err
 }
@@ -209,7 +209,7 @@
 
 // The body of a request without a known key must not be read, keys must not be sent to
 // runners or logged, and callers of a route that needs no key must not be refused.
-func TestKeysAtTheFront(t *testing.T) {
+func TestKeyAuthorization(t *testing.T) {
 	for _, tt := range []struct {
 		name, path, header string
 		status             int
--- a/transport/peer/peer.go
+++ b/transport/peer/peer.go
@@ -146,8 +146,8 @@
 	}, nil
 }
 
-// Wrap returns the Connect error for an error of package core; other errors are returned unchanged.
-func Wrap(err error) error {
+// ToConnectError returns the Connect error for an error of package core; other errors are returned unchanged.
+func ToConnectError(err error) error {
 	codes := []struct {
 		err  error
 		code connect.Code
@@ -166,8 +166,8 @@
 	return err
 }
 
-// Unwrap returns the error of package core for a Connect error.
-func Unwrap(err error) error {
+// FromConnectError returns the error of package core for a Connect error.
+func FromConnectError(err error) error {
 	switch connect.CodeOf(err) {
 	case connect.CodeNotFound:
 		return core.ErrNotFound
@@ -178,9 +178,9 @@
 	}
 }
 
-// NeverSent reports whether a call failed because no connection could be established, so that
+// IsDialError reports whether a call failed because no connection could be established, so that
 // the other daemon cannot have received the call.
-func NeverSent(err error) bool {
+func IsDialError(err error) bool {
 	var op *net.OpError
 	return errors.As(err, &op) && op.Op == "dial"
 }
--- a/transport/routers/routers.go
+++ b/transport/routers/routers.go
@@ -120,7 +120,7 @@
 		writeError(w, core.NotRun(http.StatusBadRequest, "malformed_json", "body: "+err.Error(), 0))
 		return
 	}
-	q := &entry.Ask{Model: req.Model, Stream: req.Stream, Prefix: req.Messages, Service: r.Header.Get(core.HeaderService)}
+	q := &entry.Request{Model: req.Model, Stream: req.Stream, Prefix: req.Messages, Service: r.Header.Get(core.HeaderService)}
 	if len(q.Prefix) == 0 {
 		q.Prefix = req.Prompt
 	}
@@ -128,14 +128,14 @@
 		writeError(w, err)
 		return
 	}
-	eff := t.Effective(tree.Coord{Service: q.Service, Model: q.Model})
-	q.Repeat = eff.Repeat
+	eff := t.Effective(tree.Selector{Service: q.Service, Model: q.Model})
+	q.Repeatable = eff.Repeatable
 	q.Path = r.URL.RequestURI()
 	a.serve(w, r, q, eff, body)
 }
 
 // checkModel validates the model of a request, and sets the service if the request names none.
-func (a *API) checkModel(t *tree.Tree, q *entry.Ask) error {
+func (a *API) checkModel(t *tree.Tree, q *entry.Request) error {
 	if q.Model == "" {
 		return core.NotRun(http.StatusBadRequest, "model_missing", "model: must be set", 0)
 	}
@@ -171,8 +171,8 @@
 	if path == "" {
 		path = "/"
 	}
-	eff := t.Effective(tree.Coord{Service: name})
-	q := &entry.Ask{Service: name, Path: path, Repeat: eff.Repeat && t.Repeatable(name, r.Method, path)}
+	eff := t.Effective(tree.Selector{Service: name})
+	q := &entry.Request{Service: name, Path: path, Repeatable: eff.Repeatable && t.Repeatable(name, r.Method, path)}
 	if r.URL.RawQuery != "" {
 		q.Path += "?" + r.URL.RawQuery
 	}
@@ -180,7 +180,7 @@
 }
 
 // serve runs the request and writes its answer to the caller.
-func (a *API) serve(w http.ResponseWriter, r *http.Request, q *entry.Ask, eff *tree.Effective, body []byte) {
+func (a *API) serve(w http.ResponseWriter, r *http.Request, q *entry.Request, eff *tree.Effective, body []byte) {
 	q.Method = r.Method
 	q.Body = body
 	q.Scope = scopeOf(r)
@@ -197,14 +197,14 @@
 		return
 	}
 	if writeAnswer(r.Context(), w, buf, 0) != nil {
-		a.entry.Leave(q)
+		a.entry.CallerDisconnected(q)
 	}
 }
 
 // setMetadata sets the id, class and deadline of a request.
-func (a *API) setMetadata(r *http.Request, q *entry.Ask, eff *tree.Effective) error {
+func (a *API) setMetadata(r *http.Request, q *entry.Request, eff *tree.Effective) error {
 	q.ID = r.Header.Get(core.HeaderRequest)
-	q.Returns = q.ID != "" || q.Key != ""
+	q.MayReconnect = q.ID != "" || q.Key != ""
 	for name, v := range map[string]string{core.HeaderRequest: q.ID, core.HeaderIdempotencyKey: q.Key} {
 		if !validID(v) {
 			return core.NotRun(http.StatusBadRequest, "bad_header", fmt.Sprintf("%s: want up to %d printable characters", name, maxID), 0)
@@ -352,8 +352,8 @@
 		return
 	}
 	list := a.entry.Addresses(r.Context(), model, r.URL.Query().Get("place"))
-	w.Header().Set("Cache-Control", fmt.Sprintf("max-age=%d", int(entry.AddressLife.Seconds())))
-	writeJSON(w, http.StatusOK, map[string]any{"entries": list, "life": entry.AddressLife.Seconds()})
+	w.Header().Set("Cache-Control", fmt.Sprintf("max-age=%d", int(entry.AddressTTL.Seconds())))
+	writeJSON(w, http.StatusOK, map[string]any{"entries": list, "life": entry.AddressTTL.Seconds()})
 }
 
 // reconnect serves an answer from an offset to a caller that lost the connection.
@@ -388,9 +388,9 @@
 
 // find looks up an answer by id: first as a request id, then as an idempotency key.
 func (a *API) find(ctx context.Context, scope, id string) (*answer.Buffer, error) {
-	buf, err := a.entry.Return(ctx, scope, id)
+	buf, err := a.entry.Reconnect(ctx, scope, id)
 	if errors.Is(err, core.ErrNotFound) {
-		return a.entry.Return(ctx, scope, "key:"+id)
+		return a.entry.Reconnect(ctx, scope, "key:"+id)
 	}
 	return buf, err
 }
--- a/transport/rpc/handler.go
+++ b/transport/rpc/handler.go
@@ -46,8 +46,8 @@
 type Planner interface {
 	// Active reports whether this daemon plans now.
 	Active() bool
-	// Lacking returns the models that cannot be placed, each with the reason.
-	Lacking() []string
+	// Unplaceable returns the models that cannot be placed, each with the reason.
+	Unplaceable() []string
 }
 
 var _ peerv1connect.PeerHandler = (*Handler)(nil)
@@ -62,16 +62,16 @@
 // Dispatch runs an attempt and streams its answer.
 func (h *Handler) Dispatch(ctx context.Context, req *connect.Request[peerv1.DispatchRequest], s *frameStream) error {
 	a := h.Owner.Dispatch(ctx, entry.DispatchFromWire(req.Msg, h.Clock.Now()))
-	return entry.SendFrames(ctx, a.Buffer, a.Attempt, 0, s.Send)
+	return entry.SendFrames(ctx, a.Buffer, a.AttemptID, 0, s.Send)
 }
 
 // Resume streams the answer of an attempt again, from an offset.
 func (h *Handler) Resume(ctx context.Context, req *connect.Request[peerv1.ResumeRequest], s *frameStream) error {
 	a, err := h.Owner.Attempt(req.Msg.Attempt)
 	if err != nil {
-		return peer.Wrap(err)
+		return peer.ToConnectError(err)
 	}
-	return entry.SendFrames(ctx, a.Buffer, a.Attempt, req.Msg.Offset, s.Send)
+	return entry.SendFrames(ctx, a.Buffer, a.AttemptID, req.Msg.Offset, s.Send)
 }
 
 // Cancel stops an attempt, or prevents one that has not arrived yet.
@@ -82,24 +82,24 @@
 
 // Fetch streams a stored answer.
 func (h *Handler) Fetch(ctx context.Context, req *connect.Request[peerv1.FetchRequest], s *frameStream) error {
-	buf, err := h.Entry.Held(req.Msg.Request)
+	buf, err := h.Entry.StoredAnswer(req.Msg.Request)
 	if err != nil {
-		return peer.Wrap(err)
+		return peer.ToConnectError(err)
 	}
 	return entry.SendFrames(ctx, buf, "", req.Msg.Offset, s.Send)
 }
 
 // Point records which daemon accepted a request.
 func (h *Handler) Point(_ context.Context, req *connect.Request[peerv1.Pointer]) (*empty, error) {
-	h.Entry.Point(req.Msg.Request, req.Msg.Member)
+	h.Entry.StorePointer(req.Msg.Request, req.Msg.Member)
 	return emptyReply()
 }
 
 // Find returns which daemon accepted a request.
 func (h *Handler) Find(_ context.Context, req *connect.Request[peerv1.FindRequest]) (*connect.Response[peerv1.Pointer], error) {
-	m, err := h.Entry.Find(req.Msg.Request)
+	m, err := h.Entry.FindAnswer(req.Msg.Request)
 	if err != nil {
-		return nil, peer.Wrap(err)
+		return nil, peer.ToConnectError(err)
 	}
 	return connect.NewResponse(&peerv1.Pointer{Request: req.Msg.Request, Member: m}), nil
 }
@@ -117,7 +117,7 @@
 
 // Push applies branches of the settings tree.
 func (h *Handler) Push(_ context.Context, req *connect.Request[peerv1.Branches]) (*empty, error) {
-	h.Spread.Take(spread.FromWire(req.Msg))
+	h.Spread.ApplyBranches(spread.FromWire(req.Msg))
 	return emptyReply()
 }
 
@@ -133,7 +133,7 @@
 			h.Table.Merge(m)
 		}
 	}
-	return connect.NewResponse(MembersToWire(h.Table.Whole())), nil
+	return connect.NewResponse(MembersToWire(h.Table.AllWithDead())), nil
 }
 
 // MembersToWire converts a member list to its message.
@@ -147,7 +147,7 @@
 
 // Hold stores an answer that a leaving daemon hands over.
 func (h *Handler) Hold(_ context.Context, req *connect.Request[peerv1.HoldRequest]) (*empty, error) {
-	h.Entry.Take(req.Msg)
+	h.Entry.StoreAnswer(req.Msg)
 	return emptyReply()
 }
 
@@ -181,14 +181,14 @@
 func viewToWire(v owner.View, now time.Time) *peerv1.View {
 	w := &peerv1.View{
 		Runner:      v.Runner,
-		Place:       v.Report.Place,
+		Place:       v.Report.DataCentre,
 		Capacity:    v.Capacity,
 		Running:     int32(v.Report.Running),
 		Queued:      int32(v.Report.Queued),
 		Slots:       int32(v.Report.Slots),
 		Leaving:     v.Report.Leaving,
-		Unreachable: v.Missing,
-		Known:       v.Known,
+		Unreachable: v.Unreachable,
+		Known:       v.RecordRead,
 		Cost:        v.Cost.Milliseconds(),
 	}
 	for _, e := range v.Record.Entries {
@@ -208,7 +208,7 @@
 func (h *Handler) Message(_ context.Context, req *connect.Request[peerv1.MessageRequest]) (*connect.Response[peerv1.MessageReply], error) {
 	body, err := h.Messages.HandleMessage(req.Msg.From, req.Msg.Kind, req.Msg.Body)
 	if err != nil {
-		return nil, peer.Wrap(err)
+		return nil, peer.ToConnectError(err)
 	}
 	return connect.NewResponse(&peerv1.MessageReply{Body: body}), nil
 }
@@ -219,12 +219,12 @@
 		Member:   member.ToWire(h.Table.Self()),
 		Running:  int32(h.Entry.Running()),
 		Queued:   int32(h.Owner.Queued()),
-		Held:     h.Entry.HeldBytes(),
+		Held:     h.Entry.StoredBytes(),
 		Problems: h.Replica.Problems(),
 		Relay:    h.Spread.Relaying(),
 		Planner:  h.Planner.Active(),
-		Lacking:  h.Planner.Lacking(),
-		Fresh:    h.Spread.Fresh().Milliseconds(),
+		Lacking:  h.Planner.Unplaceable(),
+		Fresh:    h.Spread.SinceConfirmed().Milliseconds(),
 	}
 	for name, v := range h.Replica.Versions() {
 		out.Versions = append(out.Versions, &peerv1.Version{Branch: name, Version: v})
