--- a/bench/overhead/main.go
+++ b/bench/overhead/main.go
@@ -105,7 +105,7 @@
 	fmt.Println("| path | tokens/s | gap median ms | gap p95 ms | gap p99 ms | daemons' CPU per token, us |")
 	fmt.Println("|---|---|---|---|---|---|")
 	for _, t := range targets {
-		if _, err := readStream(t.addr); err != nil { // opens the connections before the measurement
+		if _, err := readStream(t.addr); err != nil { // warm-up, not measured
 			return err
 		}
 		before := daemonsCPU(f)
--- a/bench/policy/variants.go
+++ b/bench/policy/variants.go
@@ -43,8 +43,8 @@
 
 func (planned) onRefusal(*world, *request) {}
 
-// static places models with the planner during the warm-up, floors and second replicas.
-// After that it only loads again, on a runner that restarts, what the runner had.
+// static places models with the planner during the warm-up: floors and second replicas. After
+// that it only loads a runner's models again when the runner restarts.
 type static struct {
 	planner  planned
 	assigned map[string][]string // models of each runner
--- a/bench/trials/main.go
+++ b/bench/trials/main.go
@@ -35,7 +35,7 @@
 	site, day, seed string
 }
 
-// outcome is the report of a day. Worth is its score.
+// outcome is the report of a day. Worth is the score of the day.
 type outcome struct {
 	Worth       float64        `json:"G"`
 	Served      float64        `json:"served"`
@@ -158,7 +158,8 @@
 	}
 	cmd := exec.Command(s.bench, "run", p.site, p.day, "--seed", p.seed, "--no-cpu", "--report", report.Name(), "--why", "Trial, "+p.tree.label+": "+s.reason)
 	cmd.Dir = p.tree.dir
-	// A day with a broken rule also exits with an error. Its report names the rule.
+	// The bench program also exits with an error after a day with a broken rule. Only the
+	// report distinguishes the two cases.
 	out, runErr := cmd.CombinedOutput()
 	data, err := os.ReadFile(report.Name())
 	if err != nil {
--- a/soak/check.go
+++ b/soak/check.go
@@ -188,7 +188,8 @@
 // resumeMargin is how long after it is resumed a holder's orders may still arrive.
 const resumeMargin = 300 * time.Millisecond
 
-// resumedRecently reports whether the holder of a term was resumed at about the time of it.
+// resumedRecently reports whether the holder of a term was resumed less than resumeMargin before
+// or after the term's order.
 func (w *World) resumedRecently(t runner.Term) bool {
 	for _, d := range w.daemons {
 		if d.name == t.Holder {
--- a/soak/world.go
+++ b/soak/world.go
@@ -29,13 +29,13 @@
 // Options are the parameters of a run.
 type Options struct {
 	Binary     string        // path of primrosed
-	Seed       uint64        // of the order of faults
+	Seed       uint64        // seed of the random choices
 	FaultKinds int           // how many kinds of faults are used, from the start of the list; 0: all
 	Daemons    int           // number of processes
 	Callers    int           // number of callers that send requests at the same time
 	Length     time.Duration // time in which faults are injected; recovery and its checks follow
 	Scale      int           // factor on time limits, for a busy machine; 0: 1
-	Dir        string        // for settings files and logs
+	Dir        string        // folder for settings files and logs
 }
 
 const (
@@ -72,8 +72,8 @@
 	daemons        []*daemon
 	runners        []*proxiedRunner
 	removedRunners []*proxiedRunner // runners that have crashed or left
-	lastRunner     int
-	configVersion  int // latest version of the configuration
+	lastRunner     int              // number of the runner that was started last
+	configVersion  int              // latest version of the configuration
 	requests       []*request
 	violations     []string
 	events         []string // what was done, and when
