--- a/cmd/primrosectl/workspaces.go
+++ b/cmd/primrosectl/workspaces.go
@@ -29,7 +29,7 @@
 				state = "invalid"
 			}
 			rows = append(rows, []string{
-				w.Name, state, formatNumber(w.Rate), formatNumber(w.Burst), w.Unit, formatNumber(w.Demand), formatNumber(w.Accepted), formatNumber(w.Available),
+				w.Name, state, formatNumber(w.Rate), formatNumber(w.Burst), w.Unit, formatNumber(w.Demand), formatNumber(w.Admitted), formatNumber(w.Available),
 				strconv.FormatFloat(w.Share, 'f', 2, 64), fmt.Sprint(w.Refused), w.UsageAge, strings.Join(w.Keys, " "),
 			})
 		}
--- a/coordination/roster/codec.go
+++ b/coordination/roster/codec.go
@@ -70,7 +70,7 @@
 		{s.Ready, rosterv1.Flag_FLAG_READY},
 		{s.Failing, rosterv1.Flag_FLAG_FAILING},
 		{s.Leaving, rosterv1.Flag_FLAG_LEAVING},
-		{s.LeaseFresh, rosterv1.Flag_FLAG_FRESH},
+		{s.LeaseRenewed, rosterv1.Flag_FLAG_FRESH},
 	} {
 		if one.set {
 			f |= one.flag
@@ -83,7 +83,7 @@
 func decodeFlags(f rosterv1.Flag) Status {
 	return Status{
 		Ready: f&rosterv1.Flag_FLAG_READY != 0, Failing: f&rosterv1.Flag_FLAG_FAILING != 0,
-		Leaving: f&rosterv1.Flag_FLAG_LEAVING != 0, LeaseFresh: f&rosterv1.Flag_FLAG_FRESH != 0,
+		Leaving: f&rosterv1.Flag_FLAG_LEAVING != 0, LeaseRenewed: f&rosterv1.Flag_FLAG_FRESH != 0,
 	}
 }
 
--- a/coordination/roster/roster_test.go
+++ b/coordination/roster/roster_test.go
@@ -178,12 +178,12 @@
 	s := newFleet(7, 60, 3)
 	s.run(5 * time.Second)
 	n := s.order[17]
-	n.report.Term, n.report.LeaseFresh = 3, true
+	n.report.Term, n.report.LeaseRenewed = 3, true
 	n.report.LastChanges.Settings = 9
 	s.send(n, n.roster.ReportNow(s.now, n.report))
 	took, ok := s.runUntil(3*time.Second, func() bool {
 		for _, one := range s.order {
-			if got, _ := one.roster.Status(s.now, n.code); one != n && (got.Term != 3 || !got.LeaseFresh || got.Settings != 9) {
+			if got, _ := one.roster.Status(s.now, n.code); one != n && (got.Term != 3 || !got.LeaseRenewed || got.Settings != 9) {
 				return false
 			}
 		}
--- a/coordination/roster/send.go
+++ b/coordination/roster/send.go
@@ -167,7 +167,7 @@
 			refusing[runner] = true
 		}
 		if report.Term > 0 {
-			g.claims[code] = claim{report.Term, report.LeaseFresh}
+			g.claims[code] = claim{report.Term, report.LeaseRenewed}
 		}
 	}
 	g.refusingRunners = slices.Sorted(maps.Keys(refusing))
--- a/coordination/roster/status.go
+++ b/coordination/roster/status.go
@@ -50,7 +50,7 @@
 	s := decodeFlags(m.flags)
 	s.Settings, s.Confirmed = g.changes.Settings-m.settingsLag, g.confirmed
 	c := g.claims[code]
-	s.Term, s.LeaseFresh = c.term, c.fresh
+	s.Term, s.LeaseRenewed = c.term, c.fresh
 	if s.Confirmed >= 0 {
 		s.Confirmed += now.Sub(g.sentAt)
 	}
--- a/coordination/roster/usage.go
+++ b/coordination/roster/usage.go
@@ -8,8 +8,8 @@
 	rosterv1 "primroseward/protocol/rosterv1"
 )
 
-// addUsage adds the rates of from, asked and spent, to those of to. Left is not additive and
-// is set to NaN.
+// addUsage adds the demand and the admitted units of from to those of to. Available is not
+// additive and is set to NaN.
 func addUsage(to, from map[core.Code]core.Usage) {
 	for code, u := range from {
 		sum := to[code]
--- a/services/workspaces/workspaces.go
+++ b/services/workspaces/workspaces.go
@@ -23,7 +23,7 @@
 	Burst     float64  `json:"burst"`
 	Keys      []string `json:"keys"`    // short hashes of the keys
 	Demand    float64  `json:"asked"`   // demand
-	Accepted  float64  `json:"spent"`   // accepted
+	Admitted  float64  `json:"spent"`   // accepted
 	Available float64  `json:"left"`    // units that may be accepted at once
 	Share     float64  `json:"share"`   // share of the allowance that the reachable daemons have
 	Refused   int64    `json:"refused"` // requests that this daemon has refused since it started
@@ -45,7 +45,7 @@
 		s := known[w.Name]
 		status := Status{
 			Name: w.Name, Unit: units[w.Unit], Rate: w.Rate, Burst: w.Burst, Keys: make([]string, 0, len(w.Keys)),
-			Demand: math.Round(s.Demand), Accepted: math.Round(s.Spent), Available: math.Round(s.Left), Share: s.Share, Refused: s.Refused,
+			Demand: math.Round(s.Demand), Admitted: math.Round(s.Spent), Available: math.Round(s.Left), Share: s.Share, Refused: s.Refused,
 			UsageAge: s.Age.Round(ageResolution).String(), Problem: w.Invalid,
 		}
 		for _, k := range w.Keys {
