--- a/coordination/allowance/allowance.go
+++ b/coordination/allowance/allowance.go
@@ -261,8 +261,8 @@
 }
 
 // UpdatePeers applies the peers' reports: the number of reachable daemons, the number of daemons
-// that may be alive, and the usage of the reachable peers. Left is the peers' estimate, NaN
-// where they have none.
+// that may be alive, and the usage of the reachable peers. Available is the peers'
+// estimate, NaN where they have none.
 func (p *Pool) UpdatePeers(reachable, known int, usage map[core.Code]core.Usage) {
 	if p.evenParts {
 		reachable, usage = min(1, reachable), nil
--- a/coordination/entry/addresses.go
+++ b/coordination/entry/addresses.go
@@ -69,7 +69,7 @@
 	request := Request{Service: t.ServiceOf(model), Model: model}
 	var out []core.Member
 	for _, r := range reports {
-		if _, ok := t.Allowed(request.coord(r.DataCentre)); !ok || r.Leaving {
+		if _, ok := t.Allowed(request.selector(r.DataCentre)); !ok || r.Leaving {
 			continue
 		}
 		if m, ok := owner.Of(e.members, r.Runner, r.DataCentre); ok {
--- a/coordination/entry/attempts.go
+++ b/coordination/entry/attempts.go
@@ -184,7 +184,7 @@
 	var out []route.Candidate
 	known := false
 	for _, r := range reports {
-		if _, ok := t.Allowed(x.request.coord(r.DataCentre)); !ok || r.Leaving {
+		if _, ok := t.Allowed(x.request.selector(r.DataCentre)); !ok || r.Leaving {
 			continue
 		}
 		m, ok := owner.Of(x.e.members, r.Runner, r.DataCentre)
--- a/coordination/entry/entry.go
+++ b/coordination/entry/entry.go
@@ -167,7 +167,7 @@
 	if t == nil {
 		return nil, core.NotRun(http.StatusServiceUnavailable, "starting", "there are no settings yet", time.Second)
 	}
-	settings := t.Effective(a.coord(""))
+	settings := t.Effective(a.selector(""))
 	if int64(len(a.Body)) > settings.Body {
 		return nil, core.NotRun(http.StatusRequestEntityTooLarge, "body_too_large", "the request body exceeds the limit in the settings", 0)
 	}
--- a/coordination/entry/request.go
+++ b/coordination/entry/request.go
@@ -69,8 +69,8 @@
 	return directory.ServiceKey(a.Service)
 }
 
-// coord returns the coordinates by which the settings tree is evaluated for
+// selector returns the selector by which the settings tree is evaluated for
 // the request.
-func (a *Request) coord(dataCentre string) tree.Selector {
+func (a *Request) selector(dataCentre string) tree.Selector {
 	return tree.Selector{Service: a.Service, Model: a.Model, DataCentre: dataCentre}
 }
--- a/coordination/owner/attempt.go
+++ b/coordination/owner/attempt.go
@@ -111,8 +111,8 @@
 			guard.Served(a.Digest)
 		}
 	case err.Code == core.CodeEndpointBroken:
-		// Begun: the endpoint is never sent more requests than it has slots, so it had
-		// started on this one.
+		// The request may have run: the endpoint is never sent more requests than it has
+		// slots, so it had started on this one.
 		guard.ConnectionLost(core.LostRequest{Digest: a.Digest, Runner: a.instance.runner(a.Runner), Route: a.Service, Service: a.Service, MayHaveRun: true})
 	}
 }
--- a/coordination/owner/life.go
+++ b/coordination/owner/life.go
@@ -64,8 +64,8 @@
 }
 
 // Report requests the state of an owned endpoint. It fails with core.ErrNoListener if the
-// process has exited and with core.ErrReplaced if another instance has replaced it. Born
-// in the report is that of the instance that answered.
+// process has exited and with core.ErrReplaced if another instance has replaced it.
+// StartedAt in the report is that of the instance that answered.
 func (m *Manager) Report(ctx context.Context, of *core.Runner) (*core.Report, error) {
 	r := m.runner(of.ID)
 	if r == nil {
--- a/coordination/owner/manager.go
+++ b/coordination/owner/manager.go
@@ -366,8 +366,8 @@
 	t := m.replica.Tree()
 	var out []string
 	for _, r := range m.find(ctx, directory.ModelKey(model)) {
-		coord := tree.Selector{Service: t.ServiceOf(model), Model: model, DataCentre: r.DataCentre}
-		if _, ok := t.Allowed(coord); ok && !r.Leaving {
+		selector := tree.Selector{Service: t.ServiceOf(model), Model: model, DataCentre: r.DataCentre}
+		if _, ok := t.Allowed(selector); ok && !r.Leaving {
 			out = append(out, r.Runner)
 		}
 	}
--- a/coordination/placement/holder.go
+++ b/coordination/placement/holder.go
@@ -37,8 +37,8 @@
 	confirmInterval   = 3 * time.Millisecond
 	// modelConfirmInterval is the interval at which an order for a model is sent
 	// again for the same purpose. For a load this begins after modelConfirmPercent % of
-	// the configured load time. When it began at once, orders for loads of four
-	// seconds made up two thirds of all orders.
+	// the configured load time. If it began at once, orders for loads of four
+	// seconds would make up two thirds of all orders.
 	modelConfirmInterval = 150 * time.Millisecond
 	modelConfirmPercent  = 90
 	// minAdapterIdle is how long after its last request the only replica of an
--- a/coordination/placement/models.go
+++ b/coordination/placement/models.go
@@ -21,9 +21,9 @@
 	}
 	if len(demand) == 0 && h.clock.Since(h.lastNewRunner) < settleTime {
 		// Models of runners that are not listed yet would count as absent, and replicas of
-		// busy models would be unloaded in their favour. This caused 6 of 25 loads from the
-		// weight store in a day of 12 runners, and 6 of 42 in one of 18. No request is
-		// waiting for a model yet.
+		// busy models would be unloaded in their favour. With 12 runners, 6 of 25 loads
+		// from the weight store in a day would be such moves, with 18 runners 6 of 42. No
+		// request is waiting for a model yet.
 		return
 	}
 	var states []*policy.HostState
--- a/coordination/placement/updates.go
+++ b/coordination/placement/updates.go
@@ -15,7 +15,7 @@
 const (
 	// updateDelay is how long an update about a loaded model or adapter may wait to be
 	// sent together with others. A plan loads an adapter on each of 90 runners within
-	// milliseconds. Sent one by one to 69 daemons, these updates accounted for 47 of
+	// milliseconds. Sent one by one to 69 daemons, these updates would account for 47 of
 	// 155 MB a day of traffic between data centres.
 	updateDelay = 100 * time.Millisecond
 	// maxUpdates keeps a datagram of updates below a packet of 1,500 bytes.
--- a/coordination/planner/role.go
+++ b/coordination/planner/role.go
@@ -222,8 +222,8 @@
 // ModelOf returns the planner's view of a model in the settings.
 func ModelOf(t *tree.Tree, name string, fast, slow float64) Model {
 	spec, _ := t.Model(name)
-	coord := tree.Selector{Service: t.ServiceOf(name), Model: name}
-	eff := t.Effective(coord)
+	selector := tree.Selector{Service: t.ServiceOf(name), Model: name}
+	eff := t.Effective(selector)
 	m := Model{
 		Name:               name,
 		Version:            spec.Version,
@@ -238,7 +238,7 @@
 	}
 	for _, e := range t.Endpoints() {
 		if _, known := m.AllowedDataCentres[e.DataCentre]; !known {
-			at := coord
+			at := selector
 			at.DataCentre = e.DataCentre
 			_, m.AllowedDataCentres[e.DataCentre] = t.Allowed(at)
 		}
--- a/coordination/policy/choose.go
+++ b/coordination/policy/choose.go
@@ -47,9 +47,9 @@
 // request can still meet its target latency when streams last length on average: a slot
 // becomes free for each stream that ends. While the demand for a model exceeds the
 // capacity of its replicas, all its runners fill up. With longer queues each request
-// served there is late and the runners' throughput is no higher: of requests that found
-// a runner of 32 slots with 36 or more requests, 94 in 100 had a late first event; of
-// those that found 28, 11 in 100.
+// served there is late and the runners' throughput is no higher: of requests that find
+// a runner of 32 slots with 36 or more requests, 94 in 100 get a late first event; of
+// those that find 28, 11 in 100.
 func QueueLimit(target, length time.Duration) float64 {
 	if length <= 0 {
 		return maxQueue
--- a/coordination/policy/exits.go
+++ b/coordination/policy/exits.go
@@ -30,8 +30,8 @@
 
 // ExitRecords records the requests that were in progress at runners that exited. A request in
 // progress at an exit may have caused it or may have been there by chance; one that is
-// present at every exit and is never served is taken for the cause. Ends is not safe for
-// concurrent use.
+// present at every exit and is never served is taken for the cause. ExitRecords is not
+// safe for concurrent use.
 type ExitRecords struct {
 	byDigest map[core.Digest]*requestExits
 }
--- a/coordination/policy/pace.go
+++ b/coordination/policy/pace.go
@@ -9,7 +9,7 @@
 	// maxPrefillShare is the part of a runner's prefill rate at which prompts are sent
 	// to it. A runner reads prompts between the tokens of its streams: if prompts
 	// arrive without a gap, no stream's next event is on time. Of streams whose runner
-	// received 14 prompts of 700 tokens within 150 ms, 71 in 100 had a pause of over
+	// receives 14 prompts of 700 tokens within 150 ms, 71 in 100 have a pause of over
 	// 150 ms; with seven prompts, 9 in 100. Reading seven prompts takes two thirds of
 	// those 150 ms, or more if none of their shared prefixes is cached on the runner.
 	maxPrefillShare = 0.75
--- a/coordination/quarantine/quarantine.go
+++ b/coordination/quarantine/quarantine.go
@@ -164,8 +164,8 @@
 	return 0, true
 }
 
-// Served implements core.Guard. If a request is served while it is held back, it was blamed
-// wrongly or the model that it needs has been repaired.
+// Served implements core.Guard. If a request is served while it is held back, it was not
+// the cause of the exits, or the model that it needs has been repaired.
 func (q *Quarantine) Served(d core.Digest) {
 	q.recent.add(d)
 	if r, ok := q.table.Held(d); ok {
--- a/coordination/quarantine/recent.go
+++ b/coordination/quarantine/recent.go
@@ -7,11 +7,11 @@
 	"primroseward/core"
 )
 
-// maxRecent is how many served requests a daemon remembers: about 40 seconds at 200 per
+// maxRecent is how many served requests a daemon keeps track of: about 40 seconds at 200 per
 // second, in half a megabyte.
 const maxRecent = 8192
 
-// recent remembers the requests that were served last.
+// recent holds the requests that were served last.
 type recent struct {
 	clock core.Clock
 	mu    sync.Mutex
--- a/coordination/roster/roster.go
+++ b/coordination/roster/roster.go
@@ -317,8 +317,8 @@
 	return out
 }
 
-// OtherUsage returns the usage of the other daemons by workspace. Left is the value that the hub
-// sent or, where this daemon acts as the hub, the mean of the values of all hubs.
+// OtherUsage returns the usage of the other daemons by workspace. Available is the value that
+// the hub sent or, where this daemon acts as the hub, the mean of the values of all hubs.
 func (r *Roster) OtherUsage(now time.Time) map[core.Code]core.Usage {
 	if now.Sub(r.totalUsageAt) >= groupStateTTL {
 		return nil
--- a/coordination/roster/usage.go
+++ b/coordination/roster/usage.go
@@ -29,7 +29,7 @@
 	}
 }
 
-// sumUsage sums up the usage of all groups. Left is the mean of the values of their hubs.
+// sumUsage sums up the usage of all groups. Available is the mean of the values of their hubs.
 func (r *Roster) sumUsage(now time.Time) map[core.Code]core.Usage {
 	out := map[core.Code]core.Usage{}
 	type mean struct {
--- a/coordination/watch/snapshot.go
+++ b/coordination/watch/snapshot.go
@@ -132,9 +132,9 @@
 
 // Snapshot returns this daemon's snapshot of a kind for a peer that has all changes up to the
 // version after: only what has changed since, if this daemon still has all deletions since
-// then. With full snapshots, each change of a runner filled the links of the small VMs in a
-// fleet of 70 daemons and 95 runners: two of five snapshots came too late, and as many full
-// lists were requested from the store. Copy fails with ErrUnavailable before the first list
+// then. With full snapshots, each change of a runner would fill the links of the small VMs
+// in a fleet of 70 daemons and 95 runners: two of five snapshots would come too late, and as
+// many full lists would be requested from the store. Snapshot fails with ErrUnavailable before the first list
 // or snapshot of the kind has been received here.
 func (w *Watcher) Snapshot(kind string, after uint64) (Snapshot, error) {
 	w.mu.Lock()
--- a/services/fleet/duties.go
+++ b/services/fleet/duties.go
@@ -25,8 +25,8 @@
 // daemons that reach each other select the same ones; a daemon that reaches no other watches.
 // Daemons for which the store fails are skipped. If it fails for this daemon too, the
 // highest-ranking daemons keep trying and the others wait for their updates: with all daemons
-// trying at once, these attempts were two thirds of the calls of a day with an outage, and
-// each call is counted.
+// trying at once, these attempts would be two thirds of the calls of a day with an outage,
+// and each call is counted.
 func (d *Daemon) shouldWatch() bool {
 	failing := d.watcher.Failing()
 	large, limit := d.peers.Large(), maxWatchers
--- a/services/fleet/fleet.go
+++ b/services/fleet/fleet.go
@@ -59,8 +59,8 @@
 	// (snapshotWait; 70 daemons may request it at the same time), for the daemons that
 	// the store lists (smallStartWait, largeStartWait; they are ready about 100 ms after
 	// their start, or 800 ms in a large fleet on VMs with a fifth of a core), and for the
-	// store's list of daemons (discoveryWait). With shorter waits all of 295 daemons read
-	// the store, with 15 calls each.
+	// store's list of daemons (discoveryWait). With shorter waits all of 295 daemons would
+	// read the store, with 15 calls each.
 	snapshotWait   = 2 * time.Second
 	smallStartWait = 400 * time.Millisecond
 	largeStartWait = 1200 * time.Millisecond
@@ -68,13 +68,13 @@
 	// startReaders is the number of daemons that read the store at once when many start;
 	// in a large fleet, the number in each data centre, so that its other daemons find a
 	// snapshot nearby. Daemons that the store lists may be gone for good: with a single
-	// reader, all daemons waited for the whole start wait, which cost a second without
-	// service each time that all daemons were killed.
+	// reader, all daemons would wait for the whole start wait, a second without service
+	// each time that all daemons are killed.
 	startReaders = 3
 	// smallFollowPause and largeFollowPause are how long a daemon that does not watch the
 	// store waits between two snapshots of the runners. Among hundreds of runners some
-	// change all the time: with the pause of a small fleet, each of 295 daemons fetched
-	// 4.4 snapshots a second. A leaving runner must get no new work after two seconds, or
+	// change all the time: with the pause of a small fleet, each of 295 daemons would
+	// fetch 4.4 snapshots a second. A leaving runner must get no new work after two seconds, or
 	// three in large fleets; the large pause uses a sixth of that time.
 	smallFollowPause = 200 * time.Millisecond
 	largeFollowPause = 500 * time.Millisecond
--- a/services/fleet/packed.go
+++ b/services/fleet/packed.go
@@ -22,9 +22,9 @@
 
 // snapshotCache keeps snapshots in the compressed form in which they are sent. A
 // configuration of 1,200 routes is 250 KB, and a tenth of that when compressed. Without
-// compression, the 17 daemons of a data centre that requested it at the same time saturated
-// the 10 Mbit/s link of the sending daemon for seconds, which delayed the streams of its
-// callers and the ends of these streams.
+// compression, the 17 daemons of a data centre that request it at the same time would
+// fill the 10 Mbit/s link of the sending daemon for seconds, which would delay the streams
+// of its callers and the ends of these streams.
 type snapshotCache struct {
 	mu   sync.Mutex
 	data map[snapshotKey][]byte
--- a/state/tree/tree.go
+++ b/state/tree/tree.go
@@ -34,7 +34,7 @@
 	servicesOf map[string][]string // model to the services that have a node for it below them
 	store      Store
 	overlay    bool     // see NewOverlay
-	cache      sync.Map // Coord to *Effective
+	cache      sync.Map // Selector to *Effective
 }
 
 // New builds a tree from its branches. A nil branch counts as absent.
--- a/state/tree/tree_test.go
+++ b/state/tree/tree_test.go
@@ -84,20 +84,20 @@
 		root := drawNode(t, all, 0, []string{"service/s", "model/m", "place/a"})
 		branches := Split(root)
 		tree := New(branches)
-		coord := Selector{Service: "s", Model: "m", DataCentre: rapid.SampledFrom(all).Draw(t, "place")}
-		e := tree.Effective(coord)
+		selector := Selector{Service: "s", Model: "m", DataCentre: rapid.SampledFrom(all).Draw(t, "place")}
+		e := tree.Effective(selector)
 		// The expected values come from a walk over all nodes on matching paths.
 		allowed, limit := true, 0
 		var walk func(n *Node)
 		walk = func(n *Node) {
-			if n.Set.DataCentres != nil && !slices.Contains(*n.Set.DataCentres, coord.DataCentre) {
+			if n.Set.DataCentres != nil && !slices.Contains(*n.Set.DataCentres, selector.DataCentre) {
 				allowed = false
 			}
 			if c := n.Set.Concurrency; c > 0 && (limit == 0 || c < limit) {
 				limit = c
 			}
 			for elem, child := range n.Children {
-				if coord.match(Path{elem}) {
+				if selector.match(Path{elem}) {
 					walk(child)
 				}
 			}
@@ -106,7 +106,7 @@
 		if limit == 0 {
 			limit = defaultConcurrency
 		}
-		assert.Equal(t, e.Allows(coord.DataCentre), allowed)
+		assert.Equal(t, e.Allows(selector.DataCentre), allowed)
 		assert.Equal(t, e.Concurrency, limit)
 	})
 }
